--- a/src/magnoliapitch/decision/__init__.py
+++ b/src/magnoliapitch/decision/__init__.py
@@ -14,7 +14,7 @@
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.decision.registry import scheduling_policy
 from magnoliapitch.decision.synchronized import SynchronizedScheduler
-from magnoliapitch.decision.variant import make_weighted
+from magnoliapitch.decision.weighted_variants import make_weighted
 from magnoliapitch.decision.weighted import WeightedScheduler
 from magnoliapitch.policy.options import PolicyOptions
 from magnoliapitch.policy.options import PolicyWeights
--- a/src/magnoliapitch/decision/admission.py
+++ b/src/magnoliapitch/decision/admission.py
@@ -8,7 +8,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.account import Accounts
+    from magnoliapitch.decision.quota_usage import Accounts
     from magnoliapitch.decision.estimate import Estimates
     from magnoliapitch.decision.interface import TaskRequest
     from magnoliapitch.decision.interface import WorkerShape
--- a/src/magnoliapitch/decision/books.py
+++ b/src/magnoliapitch/decision/allocations.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.decision.account import Accounts
-from magnoliapitch.decision.capacity import RunningTask
+from magnoliapitch.decision.quota_usage import Accounts
+from magnoliapitch.decision.worker_state import RunningTask
 from magnoliapitch.decision.interface import Placement
 from magnoliapitch.decision.interface import WorkerShape
 from magnoliapitch.decision.placement import WorkerTable
@@ -16,7 +16,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.capacity import WorkerState
+    from magnoliapitch.decision.worker_state import WorkerState
     from magnoliapitch.decision.interface import TaskRequest
 
 
--- a/src/magnoliapitch/decision/dispatch.py
+++ b/src/magnoliapitch/decision/dispatch.py
@@ -18,15 +18,15 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.books import Books
-    from magnoliapitch.decision.capacity import WorkerState
+    from magnoliapitch.decision.allocations import Books
+    from magnoliapitch.decision.worker_state import WorkerState
     from magnoliapitch.decision.finder import WorkerFinder
-    from magnoliapitch.decision.hold import HoldPlanner
+    from magnoliapitch.decision.start_reservation import HoldPlanner
     from magnoliapitch.decision.queue import GroupHeap
     from magnoliapitch.decision.queue import TaskGroup
     from magnoliapitch.decision.queue import TaskQueue
     from magnoliapitch.decision.reclaim import Reclaimer
-    from magnoliapitch.decision.round import Round
+    from magnoliapitch.decision.decision_round import Round
 
 
 MAX_ASIDE = 16
--- a/src/magnoliapitch/decision/finder.py
+++ b/src/magnoliapitch/decision/finder.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.decision.bound import ClassProgress
+from magnoliapitch.decision.starvation import ClassProgress
 from magnoliapitch.decision.placement import Need
 from magnoliapitch.resource import UNLIMITED
 from magnoliapitch.resource import Resources
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.books import Books
-    from magnoliapitch.decision.capacity import WorkerState
+    from magnoliapitch.decision.allocations import Books
+    from magnoliapitch.decision.worker_state import WorkerState
     from magnoliapitch.decision.estimate import Estimates
     from magnoliapitch.decision.queue import TaskGroup
-    from magnoliapitch.decision.round import Round
+    from magnoliapitch.decision.decision_round import Round
 
 
 PRESSING_MS = 30_000
--- a/src/magnoliapitch/decision/health.py
+++ b/src/magnoliapitch/decision/health.py
@@ -12,7 +12,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.capacity import RunningTask
+    from magnoliapitch.decision.worker_state import RunningTask
     from magnoliapitch.decision.interface import WorkerShape
 
 
--- a/src/magnoliapitch/decision/placement.py
+++ b/src/magnoliapitch/decision/placement.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from magnoliapitch.decision.capacity import FreeIndex
-from magnoliapitch.decision.capacity import WorkerState
+from magnoliapitch.decision.worker_state import FreeIndex
+from magnoliapitch.decision.worker_state import WorkerState
 from magnoliapitch.resource import NO_RESOURCES
 from magnoliapitch.resource import UNLIMITED
 from magnoliapitch.resource import Resources
--- a/src/magnoliapitch/decision/reclaim.py
+++ b/src/magnoliapitch/decision/reclaim.py
@@ -19,9 +19,9 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.books import Books
-    from magnoliapitch.decision.capacity import RunningTask
-    from magnoliapitch.decision.capacity import WorkerState
+    from magnoliapitch.decision.allocations import Books
+    from magnoliapitch.decision.worker_state import RunningTask
+    from magnoliapitch.decision.worker_state import WorkerState
 
 
 MAX_WORKERS = 16
--- a/src/magnoliapitch/decision/hold.py
+++ b/src/magnoliapitch/decision/start_reservation.py
@@ -12,15 +12,15 @@
 from typing import NamedTuple
 
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.decision.capacity import SlotHold
-from magnoliapitch.decision.capacity import WorkerState
+from magnoliapitch.decision.worker_state import SlotHold
+from magnoliapitch.decision.worker_state import WorkerState
 from magnoliapitch.decision.queue import TaskGroup
 from magnoliapitch.resource import Resources
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.books import Books
-    from magnoliapitch.decision.capacity import RunningTask
+    from magnoliapitch.decision.allocations import Books
+    from magnoliapitch.decision.worker_state import RunningTask
 
 
 MAX_WORKERS = 64
--- a/src/magnoliapitch/decision/weighted.py
+++ b/src/magnoliapitch/decision/weighted.py
@@ -10,7 +10,7 @@
 
 from magnoliapitch.catalogue.entry import WorkClass
 from magnoliapitch.decision.admission import refusal_of
-from magnoliapitch.decision.books import Books
+from magnoliapitch.decision.allocations import Books
 from magnoliapitch.decision.dispatch import Dispatcher
 from magnoliapitch.decision.estimate import Estimates
 from magnoliapitch.decision.explanation import StartRate
@@ -18,12 +18,12 @@
 from magnoliapitch.decision.finder import BULK_CLASSES
 from magnoliapitch.decision.finder import WorkerFinder
 from magnoliapitch.decision.health import HealthBook
-from magnoliapitch.decision.hold import HoldPlanner
+from magnoliapitch.decision.start_reservation import HoldPlanner
 from magnoliapitch.decision.queue import TaskGroup
 from magnoliapitch.decision.queue import TaskQueue
 from magnoliapitch.decision.reclaim import Reclaimer
 from magnoliapitch.decision.retry import RetryPolicy
-from magnoliapitch.decision.round import Round
+from magnoliapitch.decision.decision_round import Round
 from magnoliapitch.job.spec import TaskOutcome
 from magnoliapitch.resource import Resources
 
@@ -32,7 +32,7 @@
     from collections.abc import Mapping
 
     from magnoliapitch.catalogue.entry import CatalogueEntry
-    from magnoliapitch.decision.capacity import RunningTask
+    from magnoliapitch.decision.worker_state import RunningTask
     from magnoliapitch.decision.interface import Decision
     from magnoliapitch.decision.interface import Eviction
     from magnoliapitch.decision.interface import Explanation
--- a/tests/decision/test_starvation.py
+++ b/tests/decision/test_starvation.py
@@ -19,7 +19,7 @@
 from magnoliapitch.bench.decisions.trace import TracedTask
 from magnoliapitch.catalogue.entry import CatalogueEntry
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.decision.bound import STARVATION_BOUND_MS_BY_CLASS
+from magnoliapitch.decision.starvation import STARVATION_BOUND_MS_BY_CLASS
 from magnoliapitch.decision.first_fit import FirstFitScheduler
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.policy.options import options_of
