--- a/src/magnoliapitch/policy/__init__.py
+++ b/src/magnoliapitch/policy/__init__.py
@@ -1,6 +1,7 @@
-"""Options of scheduling policies, as settings hold them.
+"""Configuration of scheduling policies.
 
-Settings load these without the policies and the libraries behind them.
+It is separate from the policies so that the settings can be loaded without
+importing the policies and the libraries that these need.
 """
 
 from __future__ import annotations
--- a/src/magnoliapitch/policy/exceptions.py
+++ b/src/magnoliapitch/policy/exceptions.py
@@ -6,7 +6,7 @@
 
 
 class UnknownProfileError(UnknownNameError):
-    """A name of weights that is not registered."""
+    """No profile of policy weights is registered under a name."""
 
     def __init__(self, name: str, known: tuple[str, ...]) -> None:
-        super().__init__("profile of weights", name, known)
+        super().__init__("policy weight profile", name, known)
--- a/src/magnoliapitch/policy/options.py
+++ b/src/magnoliapitch/policy/options.py
@@ -1,4 +1,4 @@
-"""Weights of a deployment: what its policy prefers."""
+"""Weights and options of a scheduling policy, and the named profiles."""
 
 from __future__ import annotations
 
@@ -15,13 +15,17 @@
 
 
 class PolicyWeights(NamedTuple):
-    """What a deployment prefers, as numbers.
+    """Preferences of one deployment.
 
-    :param urgent_headroom: share of the processors that bulk work leaves
-        free for urgent work, from 0 to 1.
-    :param cpu_percentile: percentile of learned processor use to reserve.
-    :param memory_percentile: percentile of learned memory use to reserve.
-    :param short_first: 1 starts short bulk tasks first, 0 large ones.
+    Bulk work is all batch tasks and gangs.
+
+    :param urgent_headroom: share of all CPU, from 0 to 1, that bulk work
+        leaves free for urgent work.
+    :param cpu_percentile: percentile of the measured CPU use of an entry
+        that is reserved for its tasks.
+    :param memory_percentile: the same for memory.
+    :param short_first: order of bulk tasks: 1 prefers small and short ones,
+        0 prefers large ones, 0.5 keeps the order of submission.
     """
 
     urgent_headroom: Share = 0.03
@@ -33,7 +37,8 @@
 class PolicyOptions(NamedTuple):
     """Configuration of a scheduling policy.
 
-    :param seed: seed of sampling and of retry jitter.
+    :param weights: preferences of the deployment.
+    :param seed: seed of the random number generator, for retry jitter.
     """
 
     weights: PolicyWeights = PolicyWeights()
@@ -54,8 +59,11 @@
 def options_of(
     profile: str, weights: PolicyWeights | None = None, seed: int = 1
 ) -> PolicyOptions:
-    """Return the options of a profile, or of explicit weights.
+    """Return policy options with explicit weights or those of a profile.
 
+    :param profile: name of a weight profile; ignored if ``weights`` is set.
+    :param weights: weights to use instead of a profile.
+    :param seed: seed of the random number generator.
     :raises UnknownProfileError: if no profile has that name.
     """
     if weights is not None:
--- a/src/magnoliapitch/resource.py
+++ b/src/magnoliapitch/resource.py
@@ -1,4 +1,4 @@
-"""Amounts of processors, memory and accelerators."""
+"""Quantities of the resources that tasks and workers are sized in."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Resources(NamedTuple):
-    """An amount of the three scheduled resources.
+    """A quantity of CPU, memory and accelerators.
 
-    :param cpu_millis: thousandths of a processor core.
+    :param cpu_millis: thousandths of a CPU core.
     :param memory_mb: mebibytes of memory.
-    :param accelerators: whole accelerators.
+    :param accelerators: number of whole accelerators.
     """
 
     cpu_millis: int = 0
@@ -21,7 +21,7 @@
     accelerators: int = 0
 
     def plus(self, other: Resources) -> Resources:
-        """Return the sum of two amounts."""
+        """Return the sum of both quantities, resource by resource."""
         return Resources(
             self.cpu_millis + other.cpu_millis,
             self.memory_mb + other.memory_mb,
@@ -29,7 +29,7 @@
         )
 
     def minus(self, other: Resources) -> Resources:
-        """Return the difference, which may have negative parts."""
+        """Return the difference; single resources may become negative."""
         return Resources(
             self.cpu_millis - other.cpu_millis,
             self.memory_mb - other.memory_mb,
@@ -37,7 +37,7 @@
         )
 
     def times(self, count: int) -> Resources:
-        """Return this amount multiplied by a whole number."""
+        """Return this quantity multiplied by ``count``."""
         return Resources(
             self.cpu_millis * count,
             self.memory_mb * count,
@@ -45,7 +45,7 @@
         )
 
     def fits(self, available: Resources) -> bool:
-        """Return whether every part is within the available amount."""
+        """Return whether ``available`` covers every resource."""
         return (
             self.cpu_millis <= available.cpu_millis
             and self.memory_mb <= available.memory_mb
