--- a/src/magnoliapitch/bench/decisions/replay.py
+++ b/src/magnoliapitch/bench/decisions/replay.py
@@ -107,7 +107,9 @@
         run = JobRun(job)
         request = run.tasks[0].request(self.now_ms)
         with self._meter:
-            reason = self._scheduler.refusal(request, self.trace.fleet.workers)
+            reason = self._scheduler.infeasibility_reason(
+                request, self.trace.fleet.workers
+            )
         if reason:
             self.refused[job.job_id] = reason
             return
@@ -142,7 +144,7 @@
         for _ in range(MAX_DECISIONS_PER_STEP):
             if not self._decide():
                 break
-        if self._scheduler.queued():
+        if self._scheduler.queued_count():
             self._want_step(IDLE_STEP_MS)
 
     def _decide(self) -> bool:
@@ -225,7 +227,7 @@
     def _finish_attempt(self, run: TaskRun, outcome: TaskOutcome) -> None:
         self.audit.release(run.task_id)
         with self._meter:
-            self._scheduler.ended(run.task_id, outcome, self.now_ms)
+            self._scheduler.record_task_end(run.task_id, outcome, self.now_ms)
         del self._runs_by_task[run.task_id]
         run.worker_id = ""
         self._want_step(STEP_MS)
@@ -314,7 +316,7 @@
         task.reserved = reserved
         self.audit.resize(eviction.task_id, reserved)
         with self._meter:
-            self._scheduler.resized(eviction.task_id, reserved)
+            self._scheduler.record_resize(eviction.task_id, reserved)
         self._want_step(STEP_MS)
 
     def _take_off(self, run: TaskRun, task_id: str) -> FakeTask | None:
--- a/src/magnoliapitch/bench/decisions/scale.py
+++ b/src/magnoliapitch/bench/decisions/scale.py
@@ -127,7 +127,7 @@
             )
             ended = self._running.pop()
             began_ns = time.process_time_ns()
-            self._scheduler.ended(
+            self._scheduler.record_task_end(
                 ended.task_id, TaskOutcome.FINISHED, self.now_ms
             )
             self.spent_ns += time.process_time_ns() - began_ns
@@ -158,7 +158,7 @@
     for number in range(workers):
         scheduler.add_worker(_worker(number))
     load = _Load(scheduler, seed)
-    while load.decide() or scheduler.queued() < TASKS_PER_JOB:
+    while load.decide() or scheduler.queued_count() < TASKS_PER_JOB:
         load.submit(workers * 2)
     load.submit(queued)
     load.now_ms += STEP_MS
@@ -169,7 +169,7 @@
         load.now_ms += STEP_MS
         load.end_some()
         load.decide()
-        if scheduler.queued() < queued:
+        if scheduler.queued_count() < queued:
             load.submit(ENDS_PER_STEP)
     at = load.decision_ns.get_value_at_percentile
     return DecisionCost(
--- a/src/magnoliapitch/decision/__init__.py
+++ b/src/magnoliapitch/decision/__init__.py
@@ -1,4 +1,7 @@
-"""Decisions: which task runs where and when, free of threads and I/O."""
+"""Scheduling policies: which task starts when, and on which worker.
+
+Policies start no threads and do no I/O; all calls are synchronous.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.decision.registry import scheduling_policy
 from magnoliapitch.decision.synchronized import SynchronizedScheduler
-from magnoliapitch.decision.weighted_variants import make_weighted
 from magnoliapitch.decision.weighted import WeightedScheduler
+from magnoliapitch.decision.weighted_variants import make_weighted
 from magnoliapitch.policy.options import PolicyOptions
 from magnoliapitch.policy.options import PolicyWeights
 from magnoliapitch.policy.options import options_of
--- a/src/magnoliapitch/decision/admission.py
+++ b/src/magnoliapitch/decision/admission.py
@@ -1,4 +1,4 @@
-"""Tells what can never run, and what would make it possible."""
+"""Check whether a task can ever run, with advice if it cannot."""
 
 from __future__ import annotations
 
@@ -8,109 +8,122 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.quota_usage import Accounts
     from magnoliapitch.decision.estimate import Estimates
     from magnoliapitch.decision.interface import TaskRequest
     from magnoliapitch.decision.interface import WorkerShape
+    from magnoliapitch.decision.quota_usage import QuotaUsage
 
 
-PARTS = ("cpu_millis", "memory_mb", "accelerators")
+RESOURCE_FIELDS = ("cpu_millis", "memory_mb", "accelerators")
 
 
-def refusal_of(
+def find_infeasibility(
     task: TaskRequest,
     fleet: tuple[WorkerShape, ...],
-    accounts: Accounts,
+    quota_usage: QuotaUsage,
     estimates: Estimates,
 ) -> str:
-    """Return why a task can never run, or ''.
+    """Return why a task can never run and what to change, or ''.
 
-    It depends on the fleet, the catalogue and what was learned, so it is
-    asked again whenever these change.
+    The result depends on the workers, the catalogue and the estimates, and
+    must be checked again when these change.
+
+    :param fleet: all workers that the task may run on; if empty, sizes are
+        not checked.
     """
     return (
-        _too_large(task, fleet)
-        or _too_many(task, fleet)
-        or _over_quota(task, accounts)
-        or _too_late(task, estimates)
+        _exceeds_largest_worker(task, fleet)
+        or _exceeds_all_workers(task, fleet)
+        or _exceeds_quota(task, quota_usage)
+        or _misses_deadline(task, estimates)
     )
 
 
-def _too_large(task: TaskRequest, fleet: tuple[WorkerShape, ...]) -> str:
+def _exceeds_largest_worker(
+    task: TaskRequest, fleet: tuple[WorkerShape, ...]
+) -> str:
     size = task.resources
     if not fleet or any(size.fits(worker.capacity) for worker in fleet):
         return ""
     largest = Resources(
         *(
-            max(getattr(item.capacity, part) for item in fleet)
-            for part in PARTS
+            max(getattr(item.capacity, field) for item in fleet)
+            for field in RESOURCE_FIELDS
         )
     )
-    for part in PARTS:
-        wanted, most = getattr(size, part), getattr(largest, part)
+    for field in RESOURCE_FIELDS:
+        wanted, most = getattr(size, field), getattr(largest, field)
         if wanted > most:
             return (
-                f"a task needs {part}={wanted} and the largest worker has "
+                f"a task needs {field}={wanted} and the largest worker has "
                 f"{most}; declare at most {most} or add a larger worker"
             )
     return (
-        f"no single worker has {_text(size)} together; declare less of one "
-        "part or add a larger worker"
+        f"no single worker has {_format_resources(size)} together; declare "
+        "less of one resource or add a larger worker"
     )
 
 
-def _too_many(task: TaskRequest, fleet: tuple[WorkerShape, ...]) -> str:
+def _exceeds_all_workers(
+    task: TaskRequest, fleet: tuple[WorkerShape, ...]
+) -> str:
     if task.gang_size <= 1 or not fleet:
         return ""
-    seats = sum(_seats(worker.capacity, task.resources) for worker in fleet)
-    if seats >= task.gang_size:
+    fitting = sum(
+        _count_fitting(worker.capacity, task.resources) for worker in fleet
+    )
+    if fitting >= task.gang_size:
         return ""
     return (
-        f"the gang needs {task.gang_size} places of {_text(task.resources)} "
-        f"at once and all workers together have {seats}; submit a smaller "
-        "gang or add workers"
+        f"the gang needs to start {task.gang_size} tasks of "
+        f"{_format_resources(task.resources)} at once and "
+        f"all workers together have {fitting} places for them; submit a "
+        "smaller gang or add workers"
     )
 
 
-def _over_quota(task: TaskRequest, accounts: Accounts) -> str:
-    quota = accounts.quota(task.entry)
+def _exceeds_quota(task: TaskRequest, quota_usage: QuotaUsage) -> str:
+    quota = quota_usage.quota(task.entry)
     wanted = task.resources.times(task.gang_size)
     if quota is None or wanted.fits(quota):
         return ""
-    for part in PARTS:
-        need, most = getattr(wanted, part), getattr(quota, part)
+    for field in RESOURCE_FIELDS:
+        need, most = getattr(wanted, field), getattr(quota, field)
         if need > most:
             return (
-                f"entry {task.entry} may use {part}={most} at once and this "
-                f"needs {need}; raise limits.{part} to {need}"
+                f"entry {task.entry} may use {field}={most} at once and this "
+                f"needs {need}; raise limits.{field} to {need}"
             )
     return ""
 
 
-def _too_late(task: TaskRequest, estimates: Estimates) -> str:
+def _misses_deadline(task: TaskRequest, estimates: Estimates) -> str:
     if not task.deadline_ms:
         return ""
-    shortest_ms = estimates.of(task.entry).shortest_ms(task.run_ms)
+    shortest_ms = estimates.for_entry(task.entry).shortest_ms(task.run_ms)
     left_ms = task.deadline_ms - task.submitted_ms
     if left_ms >= shortest_ms:
         return ""
     return (
-        f"the deadline is {left_ms} ms away and the shortest run known for "
-        f"entry {task.entry} takes {shortest_ms} ms; allow at least that"
+        f"the deadline is {left_ms} ms after the submission and the "
+        f"shortest run known for entry {task.entry} takes {shortest_ms} ms; "
+        "set the deadline at least that far ahead"
     )
 
 
-def _seats(capacity: Resources, size: Resources) -> int:
+def _count_fitting(capacity: Resources, size: Resources) -> int:
     return (
         min(
-            getattr(capacity, part) // getattr(size, part)
-            for part in PARTS
-            if getattr(size, part)
+            getattr(capacity, field) // getattr(size, field)
+            for field in RESOURCE_FIELDS
+            if getattr(size, field)
         )
         if any(size)
         else 1
     )
 
 
-def _text(size: Resources) -> str:
-    return ", ".join(f"{part}={getattr(size, part)}" for part in PARTS)
+def _format_resources(size: Resources) -> str:
+    return ", ".join(
+        f"{field}={getattr(size, field)}" for field in RESOURCE_FIELDS
+    )
--- a/src/magnoliapitch/decision/allocations.py
+++ b/src/magnoliapitch/decision/allocations.py
@@ -1,84 +1,87 @@
-"""Reservations of running tasks, on workers, owners and entries."""
+"""Resources allocated to running tasks, by worker, owner and entry."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.decision.quota_usage import Accounts
-from magnoliapitch.decision.worker_state import RunningTask
 from magnoliapitch.decision.interface import Placement
 from magnoliapitch.decision.interface import WorkerShape
 from magnoliapitch.decision.placement import WorkerTable
+from magnoliapitch.decision.quota_usage import QuotaUsage
+from magnoliapitch.decision.worker_state import RunningTask
 from magnoliapitch.resource import NO_RESOURCES
 from magnoliapitch.resource import UNLIMITED
 from magnoliapitch.resource import Resources
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.worker_state import WorkerState
     from magnoliapitch.decision.interface import TaskRequest
+    from magnoliapitch.decision.worker_state import WorkerState
 
 
-class Books:
-    """What is reserved, and for whom.
+class Allocations:
+    """Resources allocated to running tasks.
 
-    :ivar freed: increases whenever capacity becomes free.
-    :ivar changed_by_id: workers on which capacity became free since this
-        was last cleared.
-    :ivar borrowed: running tasks beyond the quota of their entries.
+    :param headroom: share of all CPU that bulk work leaves free.
+    :ivar free: capacity of all workers that is neither reserved nor withheld.
+    :ivar freed_count: counter that grows whenever capacity becomes free.
+    :ivar freed_workers_by_id: workers on which capacity became free since
+        the policy last cleared this.
+    :ivar borrowed: number of running tasks that exceed the quota of their
+        entry, using idle quota of others.
     """
 
     def __init__(self, headroom: float) -> None:
-        self.table = WorkerTable(headroom)
-        self.accounts = Accounts()
+        self.workers = WorkerTable(headroom)
+        self.quota_usage = QuotaUsage()
         self.running_by_id: dict[str, RunningTask] = {}
         self.free = NO_RESOURCES
-        self.freed = 0
+        self.freed_count = 0
         self.borrowed = 0
-        self.changed_by_id: dict[str, WorkerState] = {}
-        self._spread_by_job: dict[str, dict[str, int]] = {}
+        self.freed_workers_by_id: dict[str, WorkerState] = {}
+        self._task_counts_by_job: dict[str, dict[str, int]] = {}
         self._adopted_by_worker: dict[str, list[RunningTask]] = {}
 
     def add_worker(self, shape: WorkerShape) -> WorkerState:
-        """Add a worker, or replace its capacity."""
-        known = self.table.remove(shape.worker_id)
-        if known is not None:
-            self.free = self.free.minus(known.free)
-        worker = self.table.add(shape)
-        if known is not None:
-            worker.withheld = known.withheld
-            worker.take(known.withheld)
-            for task in known.tasks_by_id.values():
-                self._move(task, worker)
+        """Add a worker, or update its capacity and keep its tasks."""
+        previous = self.workers.remove(shape.worker_id)
+        if previous is not None:
+            self.free = self.free.minus(previous.free)
+        worker = self.workers.add(shape)
+        if previous is not None:
+            worker.withheld = previous.withheld
+            worker.allocate(previous.withheld)
+            for task in previous.tasks_by_id.values():
+                self._attach(task, worker)
         for task in self._adopted_by_worker.pop(shape.worker_id, ()):
             if self.running_by_id.get(task.request.task_id) is task:
-                self._move(task, worker)
-        self.table.take(worker, NO_RESOURCES)
+                self._attach(task, worker)
+        self.workers.allocate(worker, NO_RESOURCES)
         self.free = self.free.plus(worker.free)
         self.mark_freed(worker)
         return worker
 
     def remove_worker(self, worker_id: str) -> list[RunningTask]:
-        """Forget a worker; return the tasks that it held."""
-        worker = self.table.remove(worker_id)
+        """Remove a worker and its tasks; return these tasks."""
+        worker = self.workers.remove(worker_id)
         if worker is None:
             return []
         self.free = self.free.minus(worker.free)
-        self.changed_by_id.pop(worker_id, None)
+        self.freed_workers_by_id.pop(worker_id, None)
         lost = list(worker.tasks_by_id.values())
         for task in lost:
             del self.running_by_id[task.request.task_id]
             self.borrowed -= task.borrowed
-            self._uncount(task)
+            self._remove_usage(task)
         return lost
 
     def set_withheld(self, worker_id: str, withheld: Resources) -> None:
-        """Withhold capacity of a worker."""
-        worker = self.table.workers_by_id.get(worker_id)
+        """Set the capacity of a worker that must not be used."""
+        worker = self.workers.by_id.get(worker_id)
         if worker is None or withheld == worker.withheld:
             return
-        self._change(worker, withheld.minus(worker.withheld))
+        self._allocate(worker, withheld.minus(worker.withheld))
         worker.withheld = withheld
         self.mark_freed(worker)
 
@@ -87,129 +90,142 @@
         request: TaskRequest,
         worker: WorkerState,
         reserved: Resources,
-        span_ms: tuple[int, int],
+        run_window_ms: tuple[int, int],
     ) -> Placement:
-        """Reserve for a task.
+        """Allocate resources to a task that starts now.
 
-        :param span_ms: start and expected end.
+        :param reserved: resources to reserve on the worker.
+        :param run_window_ms: start and expected end of the task.
         """
-        task = RunningTask(request, worker, reserved, *span_ms)
-        if not self.accounts.is_within_quota(request.entry, reserved):
+        task = RunningTask(request, worker, reserved, *run_window_ms)
+        if not self.quota_usage.is_within_quota(request.entry, reserved):
             task.borrowed = True
             self.borrowed += 1
         self.running_by_id[request.task_id] = task
         worker.tasks_by_id[request.task_id] = task
-        self._change(worker, reserved)
-        self._count(task)
-        if worker.kept != NO_RESOURCES:
-            left = worker.kept.minus(reserved)
-            worker.kept = Resources(*(max(0, part) for part in left))
+        self._allocate(worker, reserved)
+        self._add_usage(task)
+        if worker.earmarked != NO_RESOURCES:
+            left = worker.earmarked.minus(reserved)
+            worker.earmarked = Resources(*(max(0, part) for part in left))
         return Placement(request.task_id, worker.shape.worker_id, reserved)
 
     def adopt(
         self, request: TaskRequest, worker_id: str, reserved: Resources
     ) -> None:
-        """Count a task that already runs, perhaps on an unknown worker."""
-        worker = self.table.workers_by_id.get(worker_id)
-        span_ms = (request.submitted_ms, request.submitted_ms + request.run_ms)
+        """Add a task that is already running.
+
+        If its worker is unknown, the task is attached once that is added.
+        """
+        worker = self.workers.by_id.get(worker_id)
+        run_window_ms = (
+            request.submitted_ms,
+            request.submitted_ms + request.run_ms,
+        )
         if worker is not None:
-            self.start(request, worker, reserved, span_ms)
+            self.start(request, worker, reserved, run_window_ms)
             return
-        absent = WorkerTable(0).add(_absent(worker_id))
-        task = RunningTask(request, absent, reserved, *span_ms)
+        placeholder = WorkerTable(0).add(_placeholder_shape(worker_id))
+        task = RunningTask(request, placeholder, reserved, *run_window_ms)
         self.running_by_id[request.task_id] = task
-        self._count(task)
-        waiting = self._adopted_by_worker.setdefault(worker_id, [])
-        waiting.append(task)
+        self._add_usage(task)
+        adopted = self._adopted_by_worker.setdefault(worker_id, [])
+        adopted.append(task)
 
     def end(self, task_id: str) -> RunningTask | None:
-        """Free the reservation of a task."""
+        """Release the resources of a task; return it, ``None`` if unknown."""
         task = self.running_by_id.pop(task_id, None)
         if task is None:
             return None
         self.borrowed -= task.borrowed
-        self._uncount(task)
+        self._remove_usage(task)
         worker = task.worker
         if worker.tasks_by_id.pop(task_id, None) is None:
             return task
-        self._change(worker, NO_RESOURCES.minus(task.reserved))
+        self._allocate(worker, NO_RESOURCES.minus(task.reserved))
         self.mark_freed(worker)
         return task
 
     def resize(self, task: RunningTask, reserved: Resources) -> None:
-        """Change the reservation of a running task."""
+        """Change the resources that are reserved for a running task."""
         worker = task.worker
         if task.request.task_id not in worker.tasks_by_id:
             return
-        self._uncount(task)
-        self._change(worker, reserved.minus(task.reserved))
+        self._remove_usage(task)
+        self._allocate(worker, reserved.minus(task.reserved))
         task.reserved = reserved
-        self._count(task)
+        self._add_usage(task)
         self.mark_freed(worker)
 
     def mark_freed(self, worker: WorkerState) -> None:
-        """Note that capacity of a worker became free."""
-        self.freed += 1
-        self.changed_by_id[worker.shape.worker_id] = worker
+        """Record that capacity of a worker became free."""
+        self.freed_count += 1
+        self.freed_workers_by_id[worker.shape.worker_id] = worker
+
+    def max_freed_bulk_capacity(self, limit: int) -> Resources:
+        """Return the most that bulk work may use on any freed worker.
 
-    def changed_room(self, limit: int) -> Resources:
-        """Return the most that bulk work may use on a changed worker.
+        The maximum is taken for each resource on its own.
 
-        :param limit: number of workers above which there is no bound.
+        :param limit: if more workers than this were freed, the result is
+            ``UNLIMITED``.
         """
-        if len(self.changed_by_id) > limit:
+        if len(self.freed_workers_by_id) > limit:
             return UNLIMITED
-        workers = self.changed_by_id.values()
+        workers = self.freed_workers_by_id.values()
         return Resources(
-            max((item.bulk_cpu() for item in workers), default=0),
-            max((item.free_memory for item in workers), default=0),
+            max((item.free_bulk_cpu_millis() for item in workers), default=0),
+            max((item.free_memory_mb for item in workers), default=0),
             max((item.free_accelerators for item in workers), default=0),
         )
 
-    def keep(
+    def earmark(
         self, worker: WorkerState, amount: Resources, until_ms: int
     ) -> None:
-        """Keep capacity that is being taken back from bulk work."""
-        worker.kept = worker.kept.plus(amount)
-        worker.kept_until_ms = until_ms
+        """Set capacity aside that is being taken back from bulk work.
+
+        :param until_ms: when bulk work may use it again.
+        """
+        worker.earmarked = worker.earmarked.plus(amount)
+        worker.earmarked_until_ms = until_ms
 
-    def spread(self, job_id: str) -> dict[str, int]:
-        """Return the number of running tasks of a job in each rack."""
-        return self._spread_by_job.get(job_id, {})
+    def task_count_by_unit(self, job_id: str) -> dict[str, int]:
+        """Return the number of running tasks of a service job by rack."""
+        return self._task_counts_by_job.get(job_id, {})
 
-    def _move(self, task: RunningTask, worker: WorkerState) -> None:
+    def _attach(self, task: RunningTask, worker: WorkerState) -> None:
         task.worker = worker
         worker.tasks_by_id[task.request.task_id] = task
-        worker.take(task.reserved)
+        worker.allocate(task.reserved)
         if task.request.work_class is WorkClass.URGENT:
-            worker.urgent_cpu += task.reserved.cpu_millis
+            worker.urgent_cpu_millis += task.reserved.cpu_millis
 
-    def _change(self, worker: WorkerState, taken: Resources) -> None:
-        self.table.take(worker, taken)
+    def _allocate(self, worker: WorkerState, taken: Resources) -> None:
+        self.workers.allocate(worker, taken)
         self.free = self.free.minus(taken)
 
-    def _count(self, task: RunningTask) -> None:
+    def _add_usage(self, task: RunningTask) -> None:
         request = task.request
-        self.accounts.take(request.entry, request.owner, task.reserved)
+        self.quota_usage.allocate(request.entry, request.owner, task.reserved)
         if request.work_class is WorkClass.URGENT:
-            task.worker.urgent_cpu += task.reserved.cpu_millis
+            task.worker.urgent_cpu_millis += task.reserved.cpu_millis
         if request.work_class is WorkClass.SERVICE:
             unit = task.worker.shape.unit
-            racks = self._spread_by_job.setdefault(request.job_id, {})
+            racks = self._task_counts_by_job.setdefault(request.job_id, {})
             racks[unit] = racks.get(unit, 0) + 1
 
-    def _uncount(self, task: RunningTask) -> None:
+    def _remove_usage(self, task: RunningTask) -> None:
         request = task.request
-        self.accounts.give(request.entry, request.owner, task.reserved)
+        self.quota_usage.release(request.entry, request.owner, task.reserved)
         if request.work_class is WorkClass.URGENT:
-            task.worker.urgent_cpu -= task.reserved.cpu_millis
+            task.worker.urgent_cpu_millis -= task.reserved.cpu_millis
         if request.work_class is WorkClass.SERVICE:
             unit = task.worker.shape.unit
-            racks = self._spread_by_job[request.job_id]
+            racks = self._task_counts_by_job[request.job_id]
             racks[unit] -= 1
             if not any(racks.values()):
-                del self._spread_by_job[request.job_id]
+                del self._task_counts_by_job[request.job_id]
 
 
-def _absent(worker_id: str) -> WorkerShape:
+def _placeholder_shape(worker_id: str) -> WorkerShape:
     return WorkerShape(worker_id, "", "", NO_RESOURCES)
--- a/src/magnoliapitch/decision/decision_round.py
+++ b/src/magnoliapitch/decision/decision_round.py
@@ -1,4 +1,4 @@
-"""Work and outcome of one decide call."""
+"""State, limits and outcome of one call that decides."""
 
 from __future__ import annotations
 
@@ -13,105 +13,126 @@
 if TYPE_CHECKING:
     from magnoliapitch.decision.interface import Eviction
     from magnoliapitch.decision.interface import Placement
-    from magnoliapitch.decision.placement import Need
+    from magnoliapitch.decision.placement import PlacementNeed
 
 
 MAX_STARTS = 12
-MAX_MISSES = 12
-MAX_GANG_TRIES = 2
+MAX_FAILED_SEARCHES = 12
+MAX_GANG_ATTEMPTS = 2
 MAX_EVICTIONS = 4
-MAX_BLOCKED = 16
+MAX_REMEMBERED_FAILURES = 16
 
 
-class _Blocked(NamedTuple):
+class _FailedSearch(NamedTuple):
+    """Requirements for which a search found no worker."""
+
     size: Resources
-    until_ms: int
+    expected_end_ms: int
     is_bulk: bool
-    uses_kept: bool
+    may_use_protected: bool
     unit: str
 
-    def is_easier_than(self, need: Need) -> bool:
+    def implies_failure_of(self, need: PlacementNeed) -> bool:
         return (
             self.size.fits(need.size)
-            and self.until_ms <= need.until_ms
+            and self.expected_end_ms <= need.expected_end_ms
             and self.is_bulk <= need.is_bulk
-            and self.uses_kept >= need.uses_kept
+            and self.may_use_protected >= need.may_use_protected
             and self.unit in ("", need.unit)
         )
 
 
-class Round:
-    """Bounds the work of one decide call.
+class DecisionRound:
+    """State of one call of ``decide``, which limits its work.
 
-    :ivar number: pass that it belongs to; within a pass, what found no
-        worker is tried again only on workers that changed.
-    :ivar room: most that is free on any worker that changed in the pass.
-    :ivar is_cut_short: whether owners are left that were not looked at.
-    :ivar misses: searches of all workers that found none.
+    :ivar pass_number: pass that the call belongs to. Within a pass, a group
+        whose search for a worker failed is tried only on freed workers.
+    :ivar max_freed_capacity: most that bulk work may use on any worker on
+        which capacity became free in this pass.
+    :ivar has_unvisited_owners: whether the call stopped before all owners
+        were served.
+    :ivar failed_search_count: number of failed searches of all workers.
+    :ivar gang_attempt_count: number of gangs for which a start was tried.
     """
 
-    def __init__(self, now_ms: int, number: int) -> None:
+    def __init__(self, now_ms: int, pass_number: int) -> None:
         self.now_ms = now_ms
-        self.number = number
-        self.room = UNLIMITED
-        self.is_cut_short = False
+        self.pass_number = pass_number
+        self.max_freed_capacity = UNLIMITED
+        self.has_unvisited_owners = False
         self.placements: list[Placement] = []
         self.evictions: list[Eviction] = []
-        self.misses = 0
-        self.gang_tries = 0
-        self._blocked: list[_Blocked] = []
-        self._blocked_on_changed: list[_Blocked] = []
+        self.failed_search_count = 0
+        self.gang_attempt_count = 0
+        self._failed_searches: list[_FailedSearch] = []
+        self._failed_searches_on_freed: list[_FailedSearch] = []
 
     @property
     def is_full(self) -> bool:
-        """Whether no more may be started in this call."""
+        """Whether the limit on starts is reached."""
         return len(self.placements) >= MAX_STARTS
 
     @property
     def may_search(self) -> bool:
-        """Whether another search may fail in this call."""
-        return self.misses < MAX_MISSES
+        """Whether the limit on failed searches is not yet reached."""
+        return self.failed_search_count < MAX_FAILED_SEARCHES
 
     @property
     def may_try_gang(self) -> bool:
-        """Whether another gang may be tried in this call."""
-        return self.gang_tries < MAX_GANG_TRIES
+        """Whether the limit on attempts to start a gang is not yet reached."""
+        return self.gang_attempt_count < MAX_GANG_ATTEMPTS
 
     @property
     def may_evict(self) -> bool:
-        """Whether more may be evicted in this call."""
+        """Whether the limit on evictions is not yet reached."""
         return len(self.evictions) < MAX_EVICTIONS
 
-    def is_blocked(self, need: Need, *, on_changed: bool) -> bool:
-        """Return whether something easier to place found no worker.
+    def is_known_to_fail(
+        self, need: PlacementNeed, *, freed_only: bool
+    ) -> bool:
+        """Return whether a search that asked for no more has failed already.
 
-        :param on_changed: whether only changed workers are of interest.
+        :param freed_only: whether only freed workers would be searched.
         """
-        if any(blocked.is_easier_than(need) for blocked in self._blocked):
+        if any(
+            search.implies_failure_of(need) for search in self._failed_searches
+        ):
             return True
-        return on_changed and any(
-            blocked.is_easier_than(need)
-            for blocked in self._blocked_on_changed
+        return freed_only and any(
+            search.implies_failure_of(need)
+            for search in self._failed_searches_on_freed
         )
 
-    def block(self, need: Need, *, on_changed: bool) -> None:
-        """Remember that no worker was found."""
-        if not on_changed:
-            self.misses += 1
-        blocked = self._blocked_on_changed if on_changed else self._blocked
-        if len(blocked) < MAX_BLOCKED:
-            blocked.append(
-                _Blocked(
+    def record_failed_search(
+        self, need: PlacementNeed, *, freed_only: bool
+    ) -> None:
+        """Record that no worker was found.
+
+        :param freed_only: whether only freed workers were searched.
+        """
+        if not freed_only:
+            self.failed_search_count += 1
+        remembered = (
+            self._failed_searches_on_freed
+            if freed_only
+            else self._failed_searches
+        )
+        if len(remembered) < MAX_REMEMBERED_FAILURES:
+            remembered.append(
+                _FailedSearch(
                     need.size,
-                    need.until_ms,
+                    need.expected_end_ms,
                     need.is_bulk,
-                    need.uses_kept,
+                    need.may_use_protected,
                     need.unit,
                 )
             )
 
     def decision(self, has_more: bool) -> Decision:
-        """Return the outcome."""
+        """Return the placements and evictions of this call.
+
+        :param has_more: whether the caller should call again at once.
+        """
         return Decision(
             tuple(self.placements), tuple(self.evictions), has_more
         )
--- a/src/magnoliapitch/decision/dispatch.py
+++ b/src/magnoliapitch/decision/dispatch.py
@@ -1,8 +1,11 @@
-"""Order in which waiting work is served.
+"""Order in which waiting work is started.
 
-Urgent work first, then services, then what is overdue or holds a reserved
-start, then deadlines by latest start, then owners by dominant share, and
-last what borrows idle quota.
+1. urgent tasks, then services;
+2. the group that has a reserved start, then gangs and batch work whose work
+   class is close to starvation;
+3. work with deadlines, by latest start;
+4. owners by dominant share;
+5. work beyond the quota of its entry, which borrows idle quota.
 """
 
 from __future__ import annotations
@@ -13,307 +16,384 @@
 
 from magnoliapitch.catalogue.entry import WorkClass
 from magnoliapitch.decision.finder import BULK_CLASSES
-from magnoliapitch.decision.finder import MAX_CHANGED
-from magnoliapitch.decision.reclaim import Victims
+from magnoliapitch.decision.finder import MAX_FREED_WORKERS
+from magnoliapitch.decision.reclaim import VictimKind
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.allocations import Books
-    from magnoliapitch.decision.worker_state import WorkerState
+    from magnoliapitch.decision.allocations import Allocations
+    from magnoliapitch.decision.decision_round import DecisionRound
     from magnoliapitch.decision.finder import WorkerFinder
-    from magnoliapitch.decision.start_reservation import HoldPlanner
     from magnoliapitch.decision.queue import GroupHeap
     from magnoliapitch.decision.queue import TaskGroup
     from magnoliapitch.decision.queue import TaskQueue
     from magnoliapitch.decision.reclaim import Reclaimer
-    from magnoliapitch.decision.decision_round import Round
+    from magnoliapitch.decision.start_reservation import (
+        StartReservationPlanner,
+    )
+    from magnoliapitch.decision.worker_state import WorkerState
 
 
-MAX_ASIDE = 16
-MAX_VISITS = 64
-DEADLINE_CREDIT = 48
-CREDIT_PER_OWNER_START = 7
+MAX_SKIPPED_GROUPS = 16
+MAX_OWNER_VISITS = 64
+MAX_DEADLINE_CREDIT = 48
+DEADLINE_CREDIT_PER_OWNER_START = 7
 RECLAIM_INTERVAL_MS = 2_000
-GRACE_DIVISOR = 4
-FIRST_CLASSES = (WorkClass.URGENT, WorkClass.SERVICE)
+DEADLINE_GRACE_DIVISOR = 4
+PRIORITY_CLASSES = (WorkClass.URGENT, WorkClass.SERVICE)
 
-_Lanes = list[tuple[float, int, "GroupHeap"]]
+_Buckets = list[tuple[float, int, "GroupHeap"]]
 
 
 class Dispatcher:
-    """Serves the queue in order, within the bounds of a round.
+    """Starts waiting tasks in order, within the limits of a round.
 
-    :param holds: whether starts are reserved for what does not fit.
+    :param reservation_planner: reserves future starts for work that does not
+        fit now; ``None`` if no starts are reserved.
+    :param reclaimer: plans evictions for work that does not fit.
     """
 
     def __init__(
         self,
-        books: Books,
+        allocations: Allocations,
         queue: TaskQueue,
         finder: WorkerFinder,
-        holds: HoldPlanner | None,
+        reservation_planner: StartReservationPlanner | None,
         reclaimer: Reclaimer,
     ) -> None:
-        self._books = books
+        self._allocations = allocations
         self._queue = queue
         self._finder = finder
-        self._holds = holds
+        self._reservation_planner = reservation_planner
         self._reclaimer = reclaimer
-        self._deadline_credit = DEADLINE_CREDIT
-
-    def serve(self, turn: Round) -> None:
-        """Start what can be started, in order."""
-        turn.room = self._books.changed_room(MAX_CHANGED)
-        for work_class in FIRST_CLASSES:
-            self._serve_first(turn, work_class)
-        self._serve_held(turn)
+        self._deadline_credit = MAX_DEADLINE_CREDIT
+
+    def serve(self, decision_round: DecisionRound) -> None:
+        """Start all waiting work that fits, in order."""
+        decision_round.max_freed_capacity = (
+            self._allocations.max_freed_bulk_capacity(MAX_FREED_WORKERS)
+        )
+        for work_class in PRIORITY_CLASSES:
+            self._serve_priority_class(decision_round, work_class)
+        self._serve_start_reservation(decision_round)
         for work_class in BULK_CLASSES:
-            self._serve_overdue(turn, work_class)
-        self._serve_deadlines(turn)
-        beyond_quota = self._serve_owners(turn)
+            self._serve_near_starvation(decision_round, work_class)
+        self._serve_deadlines(decision_round)
+        beyond_quota = self._serve_owners(decision_round)
         for group in beyond_quota:
-            if turn.is_full or not turn.may_search:
+            if decision_round.is_full or not decision_round.may_search:
                 break
-            self._start_all(turn, group)
+            self._start_all(decision_round, group)
 
     def start_on(
-        self, turn: Round, group: TaskGroup, worker: WorkerState
+        self,
+        decision_round: DecisionRound,
+        group: TaskGroup,
+        worker: WorkerState,
     ) -> str:
-        """Start the next task of a group on a worker; return its id."""
-        task = self._queue.take(group)
-        now_ms = turn.now_ms
-        ends_ms = now_ms + group.run_ms
-        placement = self._books.start(
-            task, worker, group.size, (now_ms, ends_ms)
+        """Start the next task of a group on a worker; return the task id."""
+        task = self._queue.dequeue(group)
+        now_ms = decision_round.now_ms
+        expected_end_ms = now_ms + group.run_ms
+        placement = self._allocations.start(
+            task, worker, group.size, (now_ms, expected_end_ms)
         )
-        if self._holds is not None:
-            self._holds.charge(worker, group, ends_ms)
+        if self._reservation_planner is not None:
+            self._reservation_planner.charge_start(
+                worker, group, expected_end_ms
+            )
         group.job.running[task.task_id] = None
-        self._finder.progress.started(task.work_class, now_ms)
-        turn.placements.append(placement)
+        self._finder.class_start_times.record_start(task.work_class, now_ms)
+        decision_round.placements.append(placement)
         return task.task_id
 
-    def _serve_first(self, turn: Round, work_class: WorkClass) -> None:
-        heap = self._queue.oldest_by_class[work_class]
-        aside: list[TaskGroup] = []
-        while turn.may_search and not turn.is_full and len(aside) < MAX_ASIDE:
+    def _serve_priority_class(
+        self, decision_round: DecisionRound, work_class: WorkClass
+    ) -> None:
+        heap = self._queue.heap_by_class[work_class]
+        skipped: list[TaskGroup] = []
+        while (
+            decision_round.may_search
+            and not decision_round.is_full
+            and len(skipped) < MAX_SKIPPED_GROUPS
+        ):
             group = heap.pop()
             if group is None:
                 break
-            served = self._start_all(turn, group)
+            all_started = self._start_all(decision_round, group)
             if group.tasks_by_id:
-                aside.append(group)
-            if not served and turn.may_evict:
-                self._reclaim(turn, group, Victims.BULK)
-        for group in aside:
-            heap.push(group.first_ms, group)
-
-    def _serve_held(self, turn: Round) -> None:
-        if self._holds is None:
+                skipped.append(group)
+            if not all_started and decision_round.may_evict:
+                self._reclaim(decision_round, group, VictimKind.BULK)
+        for group in skipped:
+            heap.push(group.first_submitted_ms, group)
+
+    def _serve_start_reservation(self, decision_round: DecisionRound) -> None:
+        if self._reservation_planner is None:
             return
-        self._holds.expire(turn.now_ms)
-        hold = self._holds.hold
-        if hold is None or turn.is_full:
+        self._reservation_planner.expire(decision_round.now_ms)
+        reservation = self._reservation_planner.reservation
+        if reservation is None or decision_round.is_full:
             return
-        if self._start_all(turn, hold.group):
-            self._holds.release()
-        elif self._finder.is_overdue(turn, hold.group) and turn.may_evict:
-            self._reclaim(turn, hold.group, Victims.BULK)
+        if self._start_all(decision_round, reservation.group):
+            self._reservation_planner.release()
+        elif (
+            self._finder.is_near_starvation(decision_round, reservation.group)
+            and decision_round.may_evict
+        ):
+            self._reclaim(decision_round, reservation.group, VictimKind.BULK)
 
-    def _serve_overdue(self, turn: Round, work_class: WorkClass) -> None:
-        heap = self._queue.oldest_by_class[work_class]
+    def _serve_near_starvation(
+        self, decision_round: DecisionRound, work_class: WorkClass
+    ) -> None:
+        heap = self._queue.heap_by_class[work_class]
         group = heap.peek()
-        while group is not None and self._finder.is_overdue(turn, group):
-            if turn.is_full or not self._start_all(turn, group):
-                self._hold(turn, group)
+        while group is not None and self._finder.is_near_starvation(
+            decision_round, group
+        ):
+            if decision_round.is_full or not self._start_all(
+                decision_round, group
+            ):
+                self._reserve_start(decision_round, group)
                 return
             group = heap.peek()
 
-    def _serve_deadlines(self, turn: Round) -> None:
-        heap = self._queue.deadlines
-        aside: list[TaskGroup] = []
-        started = len(turn.placements)
+    def _serve_deadlines(self, decision_round: DecisionRound) -> None:
+        heap = self._queue.deadline_heap
+        skipped: list[TaskGroup] = []
+        starts_before = len(decision_round.placements)
         while (
-            turn.may_search
-            and not turn.is_full
-            and len(aside) < MAX_ASIDE
-            and len(turn.placements) - started < self._deadline_credit
+            decision_round.may_search
+            and not decision_round.is_full
+            and len(skipped) < MAX_SKIPPED_GROUPS
+            and len(decision_round.placements) - starts_before
+            < self._deadline_credit
         ):
             group = heap.pop()
             if group is None:
                 break
-            if group.missed_pass == turn.number and not group.size.fits(
-                turn.room
+            if (
+                group.no_worker_pass == decision_round.pass_number
+                and not group.size.fits(decision_round.max_freed_capacity)
             ):
-                aside.append(group)
+                skipped.append(group)
                 continue
-            self._finder.refresh(group)
-            grace_ms = group.run_ms // GRACE_DIVISOR
-            if group.latest_start_ms() + grace_ms < turn.now_ms:
+            self._finder.refresh_estimates(group)
+            grace_ms = group.run_ms // DEADLINE_GRACE_DIVISOR
+            if group.latest_start_ms() + grace_ms < decision_round.now_ms:
                 group.is_late = True
                 continue
-            if not self._start_all(turn, group):
-                self._hold(turn, group)
-                if self._finder.is_pressing(turn, group) and turn.may_evict:
-                    self._reclaim(turn, group, Victims.PATIENT)
+            if not self._start_all(decision_round, group):
+                self._reserve_start(decision_round, group)
+                if (
+                    self._finder.is_near_deadline(decision_round, group)
+                    and decision_round.may_evict
+                ):
+                    self._reclaim(
+                        decision_round,
+                        group,
+                        VictimKind.BATCH_WITHOUT_DEADLINE,
+                    )
             if group.tasks_by_id:
-                aside.append(group)
-        for group in aside:
+                skipped.append(group)
+        for group in skipped:
             heap.push(group.latest_start_ms(), group)
-        self._deadline_credit -= len(turn.placements) - started
+        self._deadline_credit -= len(decision_round.placements) - starts_before
 
-    def _serve_owners(self, turn: Round) -> list[TaskGroup]:
-        """Serve owners by dominant share; return what is beyond quota.
+    def _serve_owners(self, decision_round: DecisionRound) -> list[TaskGroup]:
+        """Serve owners by dominant share; return groups beyond their quota.
 
-        Starts here earn credit for starts by deadline, so that deadlines
-        cannot take everything.
+        Each start here earns credit for further starts by deadline, so that
+        work with deadlines cannot use all capacity.
         """
-        started = len(turn.placements)
+        starts_before = len(decision_round.placements)
         beyond_quota: list[TaskGroup] = []
-        lanes_by_owner: dict[str, _Lanes] = {}
-        stamp = self._stamp(turn)
+        buckets_by_owner: dict[str, _Buckets] = {}
+        capacity_version = self._capacity_version(decision_round)
         owners = [
             (self._share(owner), owner)
             for owner, queue in self._queue.queues_by_owner.items()
-            if queue.exhausted != stamp
+            if queue.exhausted_at != capacity_version
         ]
         heapq.heapify(owners)
         visits = 0
         while (
             owners
-            and visits < MAX_VISITS
-            and turn.may_search
-            and not turn.is_full
+            and visits < MAX_OWNER_VISITS
+            and decision_round.may_search
+            and not decision_round.is_full
         ):
             visits += 1
             owner = heapq.heappop(owners)[1]
-            lanes = lanes_by_owner.get(owner)
-            if lanes is None:
-                lanes = self._queue.queues_by_owner[owner].heads(
-                    stamp, turn.room
+            buckets = buckets_by_owner.get(owner)
+            if buckets is None:
+                buckets = self._queue.queues_by_owner[owner].startable_buckets(
+                    capacity_version, decision_round.max_freed_capacity
                 )
-                lanes_by_owner[owner] = lanes
-            if not lanes:
-                self._queue.queues_by_owner[owner].exhausted = stamp
+                buckets_by_owner[owner] = buckets
+            if not buckets:
+                self._queue.queues_by_owner[
+                    owner
+                ].exhausted_at = capacity_version
                 continue
-            self._serve_lane(turn, lanes, beyond_quota)
+            self._serve_bucket(decision_round, buckets, beyond_quota)
             heapq.heappush(owners, (self._share(owner), owner))
-        turn.is_cut_short = bool(owners) and visits >= MAX_VISITS
-        for owner, lanes in lanes_by_owner.items():
-            if not lanes and self._queue.queues_by_owner[owner].is_empty():
+        decision_round.has_unvisited_owners = (
+            bool(owners) and visits >= MAX_OWNER_VISITS
+        )
+        for owner, buckets in buckets_by_owner.items():
+            if not buckets and self._queue.queues_by_owner[owner].is_empty():
                 del self._queue.queues_by_owner[owner]
-        earned = (len(turn.placements) - started) * CREDIT_PER_OWNER_START
+        earned = (
+            len(decision_round.placements) - starts_before
+        ) * DEADLINE_CREDIT_PER_OWNER_START
         if not owners:
-            earned += CREDIT_PER_OWNER_START
+            earned += DEADLINE_CREDIT_PER_OWNER_START
         credit = self._deadline_credit + earned
-        self._deadline_credit = min(DEADLINE_CREDIT, credit)
+        self._deadline_credit = min(MAX_DEADLINE_CREDIT, credit)
         return beyond_quota
 
-    def _serve_lane(
-        self, turn: Round, lanes: _Lanes, beyond_quota: list[TaskGroup]
+    def _serve_bucket(
+        self,
+        decision_round: DecisionRound,
+        buckets: _Buckets,
+        beyond_quota: list[TaskGroup],
     ) -> None:
-        """Start one task of the first lane, or leave it out of the round."""
-        _, number, heap = heapq.heappop(lanes)
+        """Start one task of the first bucket.
+
+        A bucket whose first group cannot start is left out of this round.
+        """
+        _, tie_breaker, heap = heapq.heappop(buckets)
         group = heap.peek()
         if group is None:
             return
-        self._finder.refresh(group)
-        entry = group.sample.entry
+        self._finder.refresh_estimates(group)
+        entry = group.template.entry
         members = len(group.tasks_by_id) if group.is_gang else 1
         wanted = group.size.times(members)
-        if not self._books.accounts.is_within_quota(entry, wanted):
-            group.reason = f"quota of entry {entry}"
-            group.visited = self._stamp(turn)
+        if not self._allocations.quota_usage.is_within_quota(entry, wanted):
+            group.wait_reason = f"free quota of entry {entry}"
+            group.skipped_at = self._capacity_version(decision_round)
             beyond_quota.append(group)
             return
-        if not self._start(turn, group):
-            group.visited = self._stamp(turn)
-            self._hold(turn, group)
-            if turn.may_evict:
-                self._reclaim_borrowed(turn, group)
+        if not self._start(decision_round, group):
+            group.skipped_at = self._capacity_version(decision_round)
+            self._reserve_start(decision_round, group)
+            if decision_round.may_evict:
+                self._reclaim_borrowed(decision_round, group)
             return
         first = heap.peek()
         if first is not None:
-            heapq.heappush(lanes, (first.key, number, heap))
+            heapq.heappush(buckets, (first.order_key, tie_breaker, heap))
 
-    def _stamp(self, turn: Round) -> tuple[int, int]:
-        return turn.number, self._books.freed
+    def _capacity_version(
+        self, decision_round: DecisionRound
+    ) -> tuple[int, int]:
+        return decision_round.pass_number, self._allocations.freed_count
 
     def _share(self, owner: str) -> float:
-        capacity = self._books.table.capacity
-        return self._books.accounts.dominant_share(owner, capacity)
+        capacity = self._allocations.workers.capacity
+        return self._allocations.quota_usage.dominant_share(owner, capacity)
 
-    def _start_all(self, turn: Round, group: TaskGroup) -> bool:
-        """Start all tasks of a group; return whether none is left."""
+    def _start_all(
+        self, decision_round: DecisionRound, group: TaskGroup
+    ) -> bool:
+        """Start tasks of a group while they fit; return whether all did."""
         while group.tasks_by_id:
-            if turn.is_full or not self._start(turn, group):
+            if decision_round.is_full or not self._start(
+                decision_round, group
+            ):
                 return False
         return True
 
-    def _start(self, turn: Round, group: TaskGroup) -> bool:
-        """Start the next task of a group, or the whole gang."""
-        self._finder.refresh(group)
+    def _start(self, decision_round: DecisionRound, group: TaskGroup) -> bool:
+        """Start the next task of a group or a whole gang; return success."""
+        self._finder.refresh_estimates(group)
         if group.is_gang:
-            return self._start_gang(turn, group)
-        worker = self._finder.find(turn, group)
+            return self._start_gang(decision_round, group)
+        worker = self._finder.find_worker(decision_round, group)
         if worker is None:
             return False
-        self.start_on(turn, group, worker)
+        self.start_on(decision_round, group, worker)
         return True
 
-    def _start_gang(self, turn: Round, group: TaskGroup) -> bool:
-        missing = group.sample.gang_size - len(group.job.running)
+    def _start_gang(
+        self, decision_round: DecisionRound, group: TaskGroup
+    ) -> bool:
+        missing_count = group.template.gang_size - len(group.job.running)
         members = len(group.tasks_by_id)
-        if members < missing:
-            group.reason = "the rest of the gang is not submitted"
+        if members < missing_count:
+            group.wait_reason = (
+                "the remaining tasks of the gang to be submitted"
+            )
             return False
         total = group.size.times(members)
-        if not turn.may_try_gang or not total.fits(self._books.free):
-            group.reason = "room for the whole gang"
+        if not decision_round.may_try_gang or not total.fits(
+            self._allocations.free
+        ):
+            group.wait_reason = "free capacity for the whole gang"
             return False
-        turn.gang_tries += 1
+        decision_round.gang_attempt_count += 1
         workers: list[WorkerState] = []
         for _ in range(members):
-            worker = self._finder.find(turn, group)
+            worker = self._finder.find_worker(decision_round, group)
             if worker is None:
                 break
-            self._books.table.take(worker, group.size)
+            self._allocations.workers.allocate(worker, group.size)
             workers.append(worker)
         for worker in workers:
-            self._books.table.give(worker, group.size)
+            self._allocations.workers.release(worker, group.size)
         if len(workers) < members:
-            group.reason = "room for the whole gang"
+            group.wait_reason = "free capacity for the whole gang"
             return False
         for worker in workers:
-            self.start_on(turn, group, worker)
+            self.start_on(decision_round, group, worker)
         return True
 
-    def _hold(self, turn: Round, group: TaskGroup) -> None:
-        """Reserve a start for a gang, or for what is overdue."""
-        if self._holds is None or not group.tasks_by_id:
+    def _reserve_start(
+        self, decision_round: DecisionRound, group: TaskGroup
+    ) -> None:
+        """Reserve a start for a gang or for work close to starvation."""
+        if self._reservation_planner is None or not group.tasks_by_id:
             return
-        is_overdue = self._finder.is_overdue(turn, group)
-        if not group.is_gang and not is_overdue:
+        is_near_starvation = self._finder.is_near_starvation(
+            decision_round, group
+        )
+        if not group.is_gang and not is_near_starvation:
             return
         members = len(group.tasks_by_id) if group.is_gang else 1
-        if self._holds.place(group, members, turn.now_ms, at_once=is_overdue):
-            group.reason = "a reserved start"
+        if self._reservation_planner.reserve(
+            group,
+            members,
+            decision_round.now_ms,
+            ignore_cooldown=is_near_starvation,
+        ):
+            group.wait_reason = "the start that is reserved for it"
 
     def _reclaim(
-        self, turn: Round, group: TaskGroup, victims: Victims
+        self,
+        decision_round: DecisionRound,
+        group: TaskGroup,
+        victims: VictimKind,
     ) -> None:
-        """Evict for one task; wait for it before evicting for the next."""
-        if turn.now_ms < group.next_reclaim_ms:
+        """Evict tasks to make room for one task of a group.
+
+        An interval between evictions for the same group gives the first ones
+        time to take effect.
+        """
+        if decision_round.now_ms < group.next_reclaim_ms:
             return
-        evictions = self._reclaimer.for_size(
-            group.size, group.sample.unit, turn.now_ms, victims
+        evictions = self._reclaimer.plan_for_task(
+            group.size, group.template.unit, decision_round.now_ms, victims
         )
         if evictions:
             interval_ms = RECLAIM_INTERVAL_MS // len(group.tasks_by_id)
-            group.next_reclaim_ms = turn.now_ms + interval_ms
-            turn.evictions.extend(evictions)
+            group.next_reclaim_ms = decision_round.now_ms + interval_ms
+            decision_round.evictions.extend(evictions)
 
-    def _reclaim_borrowed(self, turn: Round, group: TaskGroup) -> None:
-        if not self._reclaimer.any_borrowed():
+    def _reclaim_borrowed(
+        self, decision_round: DecisionRound, group: TaskGroup
+    ) -> None:
+        if not self._reclaimer.has_borrowed():
             return
-        self._reclaim(turn, group, Victims.BORROWED)
+        self._reclaim(decision_round, group, VictimKind.BORROWED)
--- a/src/magnoliapitch/decision/estimate.py
+++ b/src/magnoliapitch/decision/estimate.py
@@ -1,4 +1,4 @@
-"""Learns how far declared sizes and run times are off, per entry."""
+"""Estimates of the real sizes and run times of tasks, by entry."""
 
 from __future__ import annotations
 
@@ -14,102 +14,112 @@
 
 
 PER_MILLE = 1_000
-MAX_RATIO = 100 * PER_MILLE
-SIGNIFICANT_DIGITS = 2
-MIN_SAMPLES = 8
-RUN_PERCENTILE = 75.0
-SHORTEST_PERCENTILE = 1.0
-BOUND_RATIOS = (100, 4_000)
+MAX_RATIO_PER_MILLE = 100 * PER_MILLE
+HISTOGRAM_SIGNIFICANT_DIGITS = 2
+MIN_SAMPLE_COUNT = 8
+RUN_TIME_PERCENTILE = 75.0
+SHORTEST_RUN_PERCENTILE = 1.0
+CORRECTION_BOUNDS_PER_MILLE = (100, 4_000)
 
 
 class LearnedRatio:
-    """Percentiles of a measured value as a share of the declared one.
+    """Percentile of the ratio of measured to declared values.
 
-    Percentiles are computed again only after the number of samples has
-    grown by an eighth, since computing one is dear.
+    A percentile is expensive to compute, so it is updated only once the
+    number of samples has grown by an eighth.
+
+    :param percentile: percentile of the ratio to use, 0 to 100.
+    :ivar ratio_per_mille: this percentile, within the correction bounds.
+    :ivar lowest_per_mille: first percentile; 0 until there are samples.
     """
 
     def __init__(self, percentile: float) -> None:
-        self.samples = 0
-        self.value = PER_MILLE
-        self.lowest = 0
+        self.sample_count = 0
+        self.ratio_per_mille = PER_MILLE
+        self.lowest_per_mille = 0
         self._percentile = percentile
-        self._next_update = MIN_SAMPLES
-        self._histogram = HdrHistogram(1, MAX_RATIO, SIGNIFICANT_DIGITS)
+        self._next_update = MIN_SAMPLE_COUNT
+        self._histogram = HdrHistogram(
+            1, MAX_RATIO_PER_MILLE, HISTOGRAM_SIGNIFICANT_DIGITS
+        )
 
     def record(self, measured: int, declared: int) -> bool:
-        """Count a sample; return whether the value was computed again."""
+        """Add a sample; return whether the percentiles were updated."""
         if declared <= 0 or measured <= 0:
             return False
-        ratio = min(max(measured * PER_MILLE // declared, 1), MAX_RATIO)
+        ratio = min(
+            max(measured * PER_MILLE // declared, 1), MAX_RATIO_PER_MILLE
+        )
         self._histogram.record_value(ratio)
-        self.samples += 1
-        if self.samples < self._next_update:
+        self.sample_count += 1
+        if self.sample_count < self._next_update:
             return False
-        self._next_update = self.samples + max(1, self.samples // 8)
-        at = self._histogram.get_value_at_percentile
-        low, high = BOUND_RATIOS
-        self.value = min(max(int(at(self._percentile)), low), high)
-        self.lowest = int(at(SHORTEST_PERCENTILE))
+        self._next_update = self.sample_count + max(1, self.sample_count // 8)
+        percentile_value = self._histogram.get_value_at_percentile
+        low, high = CORRECTION_BOUNDS_PER_MILLE
+        self.ratio_per_mille = min(
+            max(int(percentile_value(self._percentile)), low), high
+        )
+        self.lowest_per_mille = int(percentile_value(SHORTEST_RUN_PERCENTILE))
         return True
 
-    def apply(self, declared: int) -> int:
-        """Return the corrected value."""
-        return declared * self.value // PER_MILLE
+    def correct(self, declared: int) -> int:
+        """Return a declared value, corrected by the ratio."""
+        return declared * self.ratio_per_mille // PER_MILLE
 
 
 class EntryEstimate:
-    """What is learned about one catalogue entry.
+    """Estimates for the tasks of one catalogue entry.
 
-    :ivar version: increases whenever a corrected value changes.
+    :ivar version: counter that grows with each update of an estimate.
     """
 
     def __init__(self, weights: PolicyWeights) -> None:
         self.version = 0
         self._cpu = LearnedRatio(weights.cpu_percentile)
         self._memory = LearnedRatio(weights.memory_percentile)
-        self._run = LearnedRatio(RUN_PERCENTILE)
+        self._run = LearnedRatio(RUN_TIME_PERCENTILE)
 
     def size(self, declared: Resources) -> Resources:
-        """Return what to reserve for a declared size."""
+        """Return the resources to reserve for a declared size."""
         return Resources(
-            max(1, self._cpu.apply(declared.cpu_millis)),
-            max(1, self._memory.apply(declared.memory_mb)),
+            max(1, self._cpu.correct(declared.cpu_millis)),
+            max(1, self._memory.correct(declared.memory_mb)),
             declared.accelerators,
         )
 
     def run_ms(self, declared_ms: int) -> int:
-        """Return the expected run time."""
-        return max(1, self._run.apply(declared_ms))
+        """Return the expected run time in milliseconds."""
+        return max(1, self._run.correct(declared_ms))
 
     def shortest_ms(self, declared_ms: int) -> int:
-        """Return the shortest run time known, 0 if none is."""
-        return declared_ms * self._run.lowest // PER_MILLE
+        """Return the shortest likely run time in ms, 0 if it is unknown."""
+        return declared_ms * self._run.lowest_per_mille // PER_MILLE
 
-    def record_usage(self, peak: Resources, declared: Resources) -> None:
-        """Learn from the use that was reported of a task."""
-        cpu = self._cpu.record(peak.cpu_millis, declared.cpu_millis)
-        memory = self._memory.record(peak.memory_mb, declared.memory_mb)
+    def record_usage(self, peak_usage: Resources, declared: Resources) -> None:
+        """Record the peak usage of a task."""
+        cpu = self._cpu.record(peak_usage.cpu_millis, declared.cpu_millis)
+        memory = self._memory.record(peak_usage.memory_mb, declared.memory_mb)
         self.version += cpu or memory
 
     def record_run(self, run_ms: int, declared_ms: int) -> None:
-        """Learn from the run time of a finished task."""
+        """Record the run time of a finished task."""
         self.version += self._run.record(run_ms, declared_ms)
 
 
 class Estimates:
-    """Estimates of all entries.
+    """Estimates of all catalogue entries.
 
-    :param learns: whether samples are taken in at all.
+    :param is_enabled: whether samples are recorded at all.
     """
 
-    def __init__(self, weights: PolicyWeights, learns: bool) -> None:
+    def __init__(self, weights: PolicyWeights, is_enabled: bool) -> None:
         self._weights = weights
-        self._learns = learns
+        self._is_enabled = is_enabled
         self._by_entry: dict[str, EntryEstimate] = {}
 
-    def of(self, entry: str) -> EntryEstimate:
-        """Return the estimate of an entry."""
+    def for_entry(self, entry: str) -> EntryEstimate:
+        """Return the estimate of an entry; create it if there is none."""
         found = self._by_entry.get(entry)
         if found is None:
             found = EntryEstimate(self._weights)
@@ -117,13 +127,13 @@
         return found
 
     def record_usage(
-        self, entry: str, peak: Resources, declared: Resources
+        self, entry: str, peak_usage: Resources, declared: Resources
     ) -> None:
-        """Learn from the use that was reported of a task."""
-        if self._learns:
-            self.of(entry).record_usage(peak, declared)
+        """Record the peak usage of a task."""
+        if self._is_enabled:
+            self.for_entry(entry).record_usage(peak_usage, declared)
 
     def record_run(self, entry: str, run_ms: int, declared_ms: int) -> None:
-        """Learn from the run time of a finished task."""
-        if self._learns:
-            self.of(entry).record_run(run_ms, declared_ms)
+        """Record the run time of a finished task."""
+        if self._is_enabled:
+            self.for_entry(entry).record_run(run_ms, declared_ms)
--- a/src/magnoliapitch/decision/exceptions.py
+++ b/src/magnoliapitch/decision/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the decision package."""
+"""Errors of the scheduling policies."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnknownPolicyError(UnknownNameError):
-    """A policy name that is not registered."""
+    """No scheduling policy is registered under a name."""
 
     def __init__(self, name: str, known: tuple[str, ...]) -> None:
         super().__init__("scheduling policy", name, known)
--- a/src/magnoliapitch/decision/explanation.py
+++ b/src/magnoliapitch/decision/explanation.py
@@ -1,4 +1,4 @@
-"""Tells why a job waits."""
+"""Explanation of why a job waits."""
 
 from __future__ import annotations
 
@@ -9,81 +9,88 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.queue import JobState
+    from magnoliapitch.decision.queue import QueuedJob
     from magnoliapitch.decision.queue import TaskGroup
     from magnoliapitch.decision.queue import TaskQueue
 
 
-MAX_EXAMINED = 2_000
+MAX_COUNTED_GROUPS = 2_000
 RATE_WINDOW_MS = 60_000
 
 
 class StartRate:
-    """Rate of starts, averaged over about a minute."""
+    """Rate of task starts, averaged over about a minute."""
 
     def __init__(self) -> None:
-        self._per_ms = 0.0
+        self._starts_per_ms = 0.0
         self._updated_ms = 0
 
-    def add(self, starts: int, now_ms: int) -> None:
-        """Count starts."""
+    def record_starts(self, starts: int, now_ms: int) -> None:
+        """Record a number of starts."""
         self._decay(now_ms)
-        self._per_ms += starts / RATE_WINDOW_MS
+        self._starts_per_ms += starts / RATE_WINDOW_MS
 
     def wait_ms(self, tasks: int, now_ms: int) -> int:
-        """Return the expected wait behind some tasks, -1 if unknown."""
+        """Return the expected time until a number of starts, -1 if unknown."""
         self._decay(now_ms)
-        if self._per_ms <= 0:
+        if self._starts_per_ms <= 0:
             return -1
-        return int(tasks / self._per_ms)
+        return int(tasks / self._starts_per_ms)
 
     def _decay(self, now_ms: int) -> None:
         elapsed_ms = now_ms - self._updated_ms
         if elapsed_ms > 0:
-            self._per_ms *= max(0.0, 1 - elapsed_ms / RATE_WINDOW_MS)
+            self._starts_per_ms *= max(0.0, 1 - elapsed_ms / RATE_WINDOW_MS)
             self._updated_ms = now_ms
 
 
 def explain_wait(
-    queue: TaskQueue, job: JobState, rate: StartRate, now_ms: int
+    queue: TaskQueue, job: QueuedJob, rate: StartRate, now_ms: int
 ) -> Explanation:
-    """Return the binding limit, the place and the expected wait."""
+    """Return what a job waits for, its position and the expected wait.
+
+    :param job: a job with at least one waiting group.
+    """
     group = min(job.groups, key=lambda item: item.not_before_ms)
     delay_ms = group.not_before_ms - now_ms
     if delay_ms > 0:
-        limit = f"retry after failure in {delay_ms} ms: {group.reason}"
+        limit = f"retry after failure in {delay_ms} ms: {group.wait_reason}"
         return Explanation(job.job_id, limit.rstrip(": "), 0, delay_ms)
-    ahead = _ahead(queue, group)
-    limit = group.reason or "its turn"
+    ahead = _count_tasks_ahead(queue, group)
+    limit = group.wait_reason or "earlier tasks in the queue"
     estimate_ms = rate.wait_ms(ahead + 1, now_ms)
     return Explanation(job.job_id, limit, ahead, estimate_ms)
 
 
-def _ahead(queue: TaskQueue, group: TaskGroup) -> int:
+def _count_tasks_ahead(queue: TaskQueue, group: TaskGroup) -> int:
     """Return about how many tasks start before a group.
 
-    Of long lanes only the part near the top is counted.
+    Of each heap only a limited number of groups at the top is counted.
     """
-    work_class = group.sample.work_class
-    first = queue.oldest_by_class[WorkClass.URGENT]
+    work_class = group.template.work_class
+    urgent_heap = queue.heap_by_class[WorkClass.URGENT]
     if work_class is WorkClass.URGENT:
-        return _older(first.head(MAX_EXAMINED), group)
+        return _count_older_tasks(
+            urgent_heap.groups_near_top(MAX_COUNTED_GROUPS), group
+        )
     urgent = queue.waiting_by_class[WorkClass.URGENT]
-    services = queue.oldest_by_class[WorkClass.SERVICE].head(MAX_EXAMINED)
+    services = queue.heap_by_class[WorkClass.SERVICE].groups_near_top(
+        MAX_COUNTED_GROUPS
+    )
     if work_class is WorkClass.SERVICE:
-        return urgent + _older(services, group)
-    own = queue.queues_by_owner[group.sample.owner]
-    before = sum(
+        return urgent + _count_older_tasks(services, group)
+    owner_queue = queue.queues_by_owner[group.template.owner]
+    owner_ahead = sum(
         len(item.tasks_by_id)
-        for item in own.groups(MAX_EXAMINED)
-        if item.key < group.key
+        for item in owner_queue.groups(MAX_COUNTED_GROUPS)
+        if item.order_key < group.order_key
     )
-    return urgent + queue.waiting_by_class[WorkClass.SERVICE] + before
+    return urgent + queue.waiting_by_class[WorkClass.SERVICE] + owner_ahead
 
 
-def _older(groups: list[TaskGroup], group: TaskGroup) -> int:
+def _count_older_tasks(groups: list[TaskGroup], group: TaskGroup) -> int:
     return sum(
         len(item.tasks_by_id)
         for item in groups
-        if item.first_ms < group.first_ms
+        if item.first_submitted_ms < group.first_submitted_ms
     )
--- a/src/magnoliapitch/decision/first_fit.py
+++ b/src/magnoliapitch/decision/first_fit.py
@@ -1,4 +1,4 @@
-"""Baseline policies: a strict order, first worker that fits."""
+"""Baseline policies: strict queue order and first-fit placement."""
 
 from __future__ import annotations
 
@@ -34,12 +34,13 @@
 
 
 class FirstFitScheduler:
-    """Places the head of the queue on the first worker that fits.
+    """Scheduler that places the head of the queue on the first fitting worker.
 
-    Nothing overtakes a head that does not fit. A gang starts as a whole.
+    While the head does not fit, nothing behind it starts. All tasks of a
+    gang start in the same decision.
 
-    :param priority_by_class: rank of each class; equal ranks start in
-        order of arrival.
+    :param priority_by_class: rank of each work class, lowest first; tasks
+        of equal rank start in order of arrival.
     """
 
     def __init__(self, priority_by_class: Mapping[WorkClass, int]) -> None:
@@ -52,14 +53,14 @@
         self._running_by_job: dict[str, set[str]] = {}
         self._waiting_by_job: dict[str, dict[str, TaskRequest]] = {}
         self._queue: list[tuple[int, int, TaskRequest]] = []
-        self._arrivals = 0
-        self._queued = 0
+        self._arrival_count = 0
+        self._queued_count = 0
 
     def set_catalogue(self, by_name: Mapping[str, CatalogueEntry]) -> None:
-        """Ignore the catalogue; a strict order needs none."""
+        """Do nothing: the order does not depend on the catalogue."""
 
     def add_worker(self, worker: WorkerShape) -> None:
-        """Add a worker, or replace its capacity."""
+        """Add a worker, or update its capacity if it is known."""
         used = NO_RESOURCES
         for placement in self._placements_by_task.values():
             if placement.worker_id == worker.worker_id:
@@ -68,7 +69,7 @@
         self._free_by_worker[worker.worker_id] = worker.capacity.minus(used)
 
     def remove_worker(self, worker_id: str) -> None:
-        """Forget a worker; its reservations are dropped."""
+        """Remove a worker and the reservations of its tasks."""
         self._workers_by_id.pop(worker_id, None)
         self._free_by_worker.pop(worker_id, None)
         self._withheld_by_worker.pop(worker_id, None)
@@ -81,20 +82,20 @@
             self._forget(task_id)
 
     def set_withheld(self, worker_id: str, withheld: Resources) -> None:
-        """Withhold capacity that an earlier owner may have granted."""
+        """Set the capacity of a worker that must not be used."""
         self._withheld_by_worker[worker_id] = withheld
 
     def adopt(
         self, task: TaskRequest, worker_id: str, reserved: Resources
     ) -> None:
-        """Count a task that already runs on a worker."""
+        """Add a task that is already running."""
         if task.task_id in self._placements_by_task:
             return
         self._jobs_by_task[task.task_id] = task.job_id
         self._reserve(task, Placement(task.task_id, worker_id, reserved))
 
     def submit(self, tasks: tuple[TaskRequest, ...]) -> None:
-        """Queue tasks; a known task id is ignored."""
+        """Add tasks to the queue; ignore those whose id is known."""
         for task in tasks:
             if task.task_id in self._jobs_by_task:
                 continue
@@ -102,25 +103,25 @@
             waiting = self._waiting_by_job.setdefault(task.job_id, {})
             waiting[task.task_id] = task
             rank = self._priority_by_class.get(task.work_class, 0)
-            heapq.heappush(self._queue, (rank, self._arrivals, task))
-            self._arrivals += 1
-            self._queued += 1
+            heapq.heappush(self._queue, (rank, self._arrival_count, task))
+            self._arrival_count += 1
+            self._queued_count += 1
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Drop a job's queued tasks; return its running task ids."""
+        """Remove the queued tasks of a job; return its running task ids."""
         waiting = self._waiting_by_job.pop(job_id, {})
-        self._queued -= len(waiting)
+        self._queued_count -= len(waiting)
         for task_id in waiting:
             self._jobs_by_task.pop(task_id, None)
         return tuple(sorted(self._running_by_job.get(job_id, ())))
 
-    def ended(
+    def record_task_end(
         self,
         task_id: str,
         outcome: TaskOutcome,  # noqa: ARG002
         now_ms: int,  # noqa: ARG002
     ) -> None:
-        """Free the reservation of a task that surely runs no more."""
+        """Release the resources of a task that is certain to have ended."""
         placement = self._forget(task_id)
         if placement is None:
             return
@@ -132,58 +133,60 @@
     def report_usage(
         self, task_id: str, usage: Resources, now_ms: int
     ) -> None:
-        """Ignore usage; the baseline trusts declared sizes."""
+        """Do nothing: the baseline reserves the declared sizes."""
 
-    def resized(self, task_id: str, reserved: Resources) -> None:
-        """Ignore new bounds; the baseline asks for none."""
+    def record_resize(self, task_id: str, reserved: Resources) -> None:
+        """Do nothing: the baseline never throttles a task."""
 
     def decide(self, now_ms: int) -> Decision:  # noqa: ARG002
-        """Place from the head of the queue until one does not fit."""
+        """Place tasks in queue order until one does not fit."""
         placements: list[Placement] = []
         while self._queue:
             head = self._queue[0][2]
             if not self._is_waiting(head):
                 heapq.heappop(self._queue)
                 continue
-            placed = self._place(self._together(head))
+            placed = self._place(self._tasks_started_with(head))
             if not placed:
                 break
             placements.extend(placed)
         return Decision(tuple(placements))
 
     def explain(self, job_id: str, now_ms: int) -> Explanation | None:  # noqa: ARG002
-        """Tell why a queued job waits."""
+        """Return why a job waits, or ``None`` if none of its tasks do."""
         if job_id not in self._waiting_by_job:
             return None
         ahead = sum(
             self._is_waiting(task) and task.job_id != job_id
             for _, _, task in self._queue
         )
-        return Explanation(job_id, "arrival order", ahead, -1)
+        return Explanation(job_id, "earlier tasks in the queue", ahead, -1)
 
-    def refusal(
+    def infeasibility_reason(
         self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
     ) -> str:
-        """Tell why a task can never run on the fleet, or return ''."""
+        """Return why a task can never run on a fleet, or an empty string."""
         if any(task.resources.fits(worker.capacity) for worker in fleet):
             return ""
-        return f"no worker can hold {task.resources}"
+        return f"no worker has capacity for {task.resources}"
 
-    def free(self) -> Resources:
-        """Return the unreserved capacity."""
+    def free_capacity(self) -> Resources:
+        """Return the capacity that is neither reserved nor withheld."""
         total = NO_RESOURCES
         for worker_id in self._workers_by_id:
             total = total.plus(self._available(worker_id))
         return total
 
-    def queued(self) -> int:
-        """Return the number of waiting tasks."""
-        return self._queued
+    def queued_count(self) -> int:
+        """Return the number of queued tasks."""
+        return self._queued_count
 
     def _is_waiting(self, task: TaskRequest) -> bool:
         return task.task_id in self._waiting_by_job.get(task.job_id, ())
 
-    def _together(self, head: TaskRequest) -> tuple[TaskRequest, ...]:
+    def _tasks_started_with(
+        self, head: TaskRequest
+    ) -> tuple[TaskRequest, ...]:
         if head.gang_size <= 1:
             return (head,)
         return tuple(self._waiting_by_job[head.job_id].values())
@@ -194,7 +197,7 @@
             worker_id = self._first_fit(task)
             if worker_id is None:
                 for placement in placements:
-                    self._undo(placement)
+                    self._undo_reservation(placement)
                 return []
             placement = Placement(task.task_id, worker_id, task.resources)
             self._reserve(task, placement)
@@ -206,7 +209,7 @@
     def _dequeue(self, task: TaskRequest) -> None:
         waiting = self._waiting_by_job[task.job_id]
         del waiting[task.task_id]
-        self._queued -= 1
+        self._queued_count -= 1
         if not waiting:
             del self._waiting_by_job[task.job_id]
 
@@ -231,7 +234,7 @@
             left = free.minus(placement.reserved)
             self._free_by_worker[placement.worker_id] = left
 
-    def _undo(self, placement: Placement) -> None:
+    def _undo_reservation(self, placement: Placement) -> None:
         del self._placements_by_task[placement.task_id]
         job_id = self._jobs_by_task[placement.task_id]
         self._running_by_job[job_id].discard(placement.task_id)
@@ -244,7 +247,7 @@
         job_id = self._jobs_by_task.pop(task_id, "")
         waiting = self._waiting_by_job.get(job_id, {})
         if waiting.pop(task_id, None) is not None:
-            self._queued -= 1
+            self._queued_count -= 1
         running = self._running_by_job.get(job_id)
         if running is not None:
             running.discard(task_id)
@@ -255,11 +258,11 @@
 
 @scheduling_policy("fifo")
 def make_fifo(options: PolicyOptions) -> FirstFitScheduler:  # noqa: ARG001
-    """Return the policy that starts in order of arrival."""
+    """Create the policy that starts tasks in order of arrival."""
     return FirstFitScheduler({})
 
 
 @scheduling_policy("strict-priority")
 def make_strict_priority(options: PolicyOptions) -> FirstFitScheduler:  # noqa: ARG001
-    """Return the policy that starts in order of class, then arrival."""
+    """Create the policy that orders by work class, then by arrival."""
     return FirstFitScheduler(PRIORITY_BY_CLASS)
--- a/src/magnoliapitch/decision/interface.py
+++ b/src/magnoliapitch/decision/interface.py
@@ -1,4 +1,7 @@
-"""Interface between the job manager and a scheduling policy."""
+"""Interface between the job manager and a scheduling policy.
+
+All times are milliseconds of the local clock, all durations milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +22,18 @@
 
 
 class TaskRequest(NamedTuple):
-    """A task that waits for a worker.
+    """One attempt of a task, to be placed on a worker.
 
-    :param task_id: lease id of its next attempt, ``JOB/TASK/ATTEMPT``.
-    :param gang_size: tasks of the job that must start together, else 1.
-    :param unit: rack whose workers alone may run it, or empty for any.
+    :param task_id: lease id of the attempt, ``JOB/TASK/ATTEMPT``.
+    :param entry: name of the catalogue entry that the job belongs to.
+    :param owner: owner of that entry.
+    :param resources: declared size.
     :param run_ms: declared run time.
-    :param submitted_ms: when the job was accepted, local clock.
-    :param deadline_ms: wanted completion, local clock; 0 for none.
+    :param submitted_ms: when the job was accepted.
+    :param deadline_ms: when the task should be complete; 0 for no deadline.
+    :param gang_size: number of tasks of the job that must start together;
+        1 if the task is not part of a gang.
+    :param unit: the only rack that the task may run in; empty for any.
     """
 
     task_id: str
@@ -43,9 +50,10 @@
 
 
 class WorkerShape(NamedTuple):
-    """A worker that tasks may be placed on.
+    """A worker and its total capacity.
 
-    :param unit: rack, the failure domain.
+    :param unit: rack of the worker, which is its failure domain.
+    :param zone: availability zone of the worker.
     """
 
     worker_id: str
@@ -55,9 +63,10 @@
 
 
 class Placement(NamedTuple):
-    """Start of a task on a worker.
+    """Decision to start a task on a worker.
 
-    :param reserved: amount to reserve there for the task.
+    :param reserved: resources to reserve for the task on that worker; may
+        differ from the declared size.
     """
 
     task_id: str
@@ -66,7 +75,7 @@
 
 
 class EvictionAction(StrEnum):
-    """How capacity is taken back, least damage first."""
+    """How capacity is taken back from a task, least disruptive first."""
 
     THROTTLE = "throttle"
     CHECKPOINT = "checkpoint"
@@ -74,9 +83,10 @@
 
 
 class Eviction(NamedTuple):
-    """Taking back capacity from a running task.
+    """Decision to take capacity back from a running task.
 
-    :param cpu_millis: bound to throttle to.
+    :param cpu_millis: new CPU limit in thousandths of a core, for a
+        throttle only. It may be higher than before, to lift a throttle.
     """
 
     task_id: str
@@ -86,9 +96,12 @@
 
 
 class Decision(NamedTuple):
-    """What to do now; placements already count as reserved.
+    """Outcome of one call of :meth:`Scheduler.decide`.
+
+    The scheduler has already counted the placements as running.
 
-    :param has_more: the bound on work was reached; decide again at once.
+    :param has_more: whether the call stopped at its limit on work, so that
+        the caller should call again at once.
     """
 
     placements: tuple[Placement, ...] = ()
@@ -99,8 +112,8 @@
 class Explanation(NamedTuple):
     """Why a job waits.
 
-    :param limit: the binding limit in words.
-    :param position: tasks ahead of it.
+    :param limit: text that names what the job waits for.
+    :param position: number of tasks that start before it.
     :param estimate_ms: expected wait, -1 if unknown.
     """
 
@@ -111,58 +124,71 @@
 
 
 class Scheduler(Protocol):
-    """A scheduling policy over the capacity of one entry.
+    """A scheduling policy for the workers that one entry instance manages.
 
-    All calls come from one thread; ``now_ms`` is the local clock.
+    Implementations are not thread-safe.
     """
 
     def set_catalogue(self, by_name: Mapping[str, CatalogueEntry]) -> None:
-        """Use these catalogue entries from now on."""
+        """Replace the catalogue.
+
+        :param by_name: catalogue entries by name.
+        """
 
     def add_worker(self, worker: WorkerShape) -> None:
-        """Add a worker, or replace its capacity."""
+        """Add a worker, or update its capacity if it is known."""
 
     def remove_worker(self, worker_id: str) -> None:
-        """Forget a worker; its reservations are dropped."""
+        """Remove a worker and the reservations of its tasks."""
 
     def set_withheld(self, worker_id: str, withheld: Resources) -> None:
-        """Withhold capacity that an earlier owner may have granted."""
+        """Set the capacity of a worker that must not be used.
+
+        A previous manager of the worker may have granted it to tasks that
+        this scheduler does not know.
+        """
 
     def adopt(
         self, task: TaskRequest, worker_id: str, reserved: Resources
     ) -> None:
-        """Count a task that already runs on a worker."""
+        """Add a task that is already running.
+
+        :param worker_id: its worker, which may not have been added yet.
+        :param reserved: resources that are reserved for it there.
+        """
 
     def submit(self, tasks: tuple[TaskRequest, ...]) -> None:
-        """Queue tasks; a known task id is ignored."""
+        """Add tasks to the queue; ignore those whose id is known."""
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Drop a job's queued tasks; return its running task ids."""
+        """Remove the queued tasks of a job; return its running task ids."""
 
-    def ended(self, task_id: str, outcome: TaskOutcome, now_ms: int) -> None:
-        """Free the reservation of a task that surely runs no more."""
+    def record_task_end(
+        self, task_id: str, outcome: TaskOutcome, now_ms: int
+    ) -> None:
+        """Release the resources of a task that is certain to have ended."""
 
     def report_usage(
         self, task_id: str, usage: Resources, now_ms: int
     ) -> None:
-        """Note a usage report of a running task."""
+        """Record the resource usage that a running task reported."""
 
-    def resized(self, task_id: str, reserved: Resources) -> None:
-        """Note that a worker confirmed a new bound on a running task."""
+    def record_resize(self, task_id: str, reserved: Resources) -> None:
+        """Record that a worker confirmed the new size of a running task."""
 
     def decide(self, now_ms: int) -> Decision:
-        """Return the next decision, bounded in work."""
+        """Return what to start and evict now; each call does bounded work."""
 
     def explain(self, job_id: str, now_ms: int) -> Explanation | None:
-        """Tell why a queued job waits."""
+        """Return why a job waits, or ``None`` if none of its tasks do."""
 
-    def refusal(
+    def infeasibility_reason(
         self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
     ) -> str:
-        """Tell why a task can never run on the fleet, or return ''."""
+        """Return why a task can never run on a fleet, or an empty string."""
 
-    def free(self) -> Resources:
-        """Return the unreserved capacity."""
+    def free_capacity(self) -> Resources:
+        """Return the capacity that is neither reserved nor withheld."""
 
-    def queued(self) -> int:
-        """Return the number of waiting tasks."""
+    def queued_count(self) -> int:
+        """Return the number of queued tasks."""
--- a/src/magnoliapitch/decision/reclaim.py
+++ b/src/magnoliapitch/decision/reclaim.py
@@ -1,8 +1,8 @@
-"""Takes capacity back from bulk work, least damage first.
+"""Preemption of bulk work, least disruptive first.
 
-Processors are taken back by throttling; memory and accelerators, or more
-processors than throttling yields, by checkpoints; tasks that cannot be
-checkpointed in time are stopped.
+CPU is taken back by throttling. Memory, accelerators and more CPU than
+throttling can free are taken back by checkpoints. A task that does not end
+with a checkpoint in time is stopped.
 """
 
 from __future__ import annotations
@@ -19,158 +19,186 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.decision.allocations import Books
+    from magnoliapitch.decision.allocations import Allocations
     from magnoliapitch.decision.worker_state import RunningTask
     from magnoliapitch.decision.worker_state import WorkerState
 
 
-MAX_WORKERS = 16
-KEEP_MS = 10_000
-STOP_AFTER_MS = 30_000
+MAX_EXAMINED_WORKERS = 16
+EARMARK_MS = 10_000
+CHECKPOINT_TIMEOUT_MS = 30_000
 THROTTLE_TIMEOUT_MS = 2_000
-THROTTLE_DIVISOR = 2
-MIN_THROTTLED_MILLIS = 100
-GANG_DAMAGE = 1_000_000
-DEADLINE_DAMAGE = 500_000
-BORROWED_GAIN = 10_000_000
+THROTTLE_CPU_DIVISOR = 2
+MIN_THROTTLED_CPU_MILLIS = 100
+GANG_EVICTION_COST = 1_000_000
+DEADLINE_EVICTION_COST = 500_000
+BORROWED_COST_DISCOUNT = 10_000_000
 
 
-class Victims(StrEnum):
-    """Which bulk work may be evicted.
+class VictimKind(StrEnum):
+    """Which bulk tasks may be evicted.
 
-    Patient is batch work without a deadline: were gangs evicted for
-    deadlines, a flood of deadlines would start and evict them for ever.
+    - ``BORROWED``: tasks that exceed the quota of their entry.
+    - ``BATCH_WITHOUT_DEADLINE``: batch tasks without a deadline. Work with a
+      deadline may evict only these: if it could evict gangs, a steady stream
+      of deadlines would start and evict the same gangs again and again.
+    - ``BULK``: all batch and gang tasks.
     """
 
     BORROWED = "borrowed"
-    PATIENT = "patient"
+    BATCH_WITHOUT_DEADLINE = "patient"
     BULK = "bulk"
 
 
 class Reclaimer:
-    """Plans evictions; keeps what they free for those who waited.
+    """Plans evictions, and earmarks what they free for the waiting tasks.
 
-    :param acts: whether anything is taken back at all.
+    :param is_enabled: whether any evictions are planned at all.
     """
 
-    def __init__(self, books: Books, acts: bool) -> None:
-        self._books = books
-        self._acts = acts
-        self._throttled: dict[str, RunningTask] = {}
-        self._unconfirmed_ms: dict[str, int] = {}
-        self._checkpointed_ms: dict[str, int] = {}
+    def __init__(self, allocations: Allocations, is_enabled: bool) -> None:
+        self._allocations = allocations
+        self._is_enabled = is_enabled
+        self._throttled_by_task: dict[str, RunningTask] = {}
+        self._throttle_sent_ms_by_task: dict[str, int] = {}
+        self._checkpoint_sent_ms_by_task: dict[str, int] = {}
 
-    def for_size(
-        self, size: Resources, unit: str, now_ms: int, victims: Victims
+    def plan_for_task(
+        self, size: Resources, unit: str, now_ms: int, victims: VictimKind
     ) -> list[Eviction]:
-        """Return evictions that make room for a task, or none."""
-        if not self._acts:
+        """Return evictions that make room for a task on the cheapest worker.
+
+        :param size: resources that the task needs.
+        :param unit: the only rack that it may run in; empty for any.
+        :param victims: which tasks may be evicted.
+        :returns: the evictions; empty if none make enough room.
+        """
+        if not self._is_enabled:
             return []
         best: list[Eviction] = []
-        best_damage = 0
-        for worker in self._books.table.some(MAX_WORKERS, unit):
-            plan = _plan(worker, size, victims)
+        lowest_cost = 0
+        for worker in self._allocations.workers.emptiest_workers(
+            MAX_EXAMINED_WORKERS, unit
+        ):
+            plan = _plan_on_worker(worker, size, victims)
             if plan is None:
                 continue
-            damage, evictions = plan
-            if not best or damage < best_damage:
+            cost, evictions = plan
+            if not best or cost < lowest_cost:
                 best = evictions
-                best_damage = damage
+                lowest_cost = cost
         if best:
-            self._apply(best, now_ms)
-            if victims is Victims.BULK:
+            self._record_all(best, now_ms)
+            if victims is VictimKind.BULK:
                 worker_id = best[0].worker_id
-                worker = self._books.table.workers_by_id[worker_id]
-                self._books.keep(worker, size, now_ms + KEEP_MS)
+                worker = self._allocations.workers.by_id[worker_id]
+                self._allocations.earmark(worker, size, now_ms + EARMARK_MS)
         return best
 
-    def any_borrowed(self) -> bool:
-        """Return whether any task runs beyond the quota of its entry."""
-        return self._books.borrowed > 0
+    def has_borrowed(self) -> bool:
+        """Return whether any running task exceeds the quota of its entry."""
+        return self._allocations.borrowed > 0
 
-    def for_growth(self, task: RunningTask, now_ms: int) -> list[Eviction]:
-        """Return the eviction of a task that outgrew its worker."""
-        if task.evicted or not self._acts:
+    def plan_for_growth(
+        self, task: RunningTask, now_ms: int
+    ) -> list[Eviction]:
+        """Return a checkpoint of a task on a worker that ran out of memory."""
+        if task.is_being_evicted or not self._is_enabled:
             return []
-        eviction = _eviction(task, EvictionAction.CHECKPOINT)
-        self._mark(eviction, task, now_ms)
+        eviction = _make_eviction(task, EvictionAction.CHECKPOINT)
+        self._record_eviction(eviction, task, now_ms)
         return [eviction]
 
-    def restore(self, limit: int) -> list[Eviction]:
-        """Return evictions that lift bounds where capacity is idle."""
+    def lift_throttles(self, limit: int) -> list[Eviction]:
+        """Return throttles back to the initial CPU where capacity is free.
+
+        :param limit: number of throttled tasks to examine at most.
+        """
         found = []
-        for task_id, task in list(self._throttled.items())[:limit]:
-            if self._books.running_by_id.get(task_id) is not task:
-                del self._throttled[task_id]
-                self._unconfirmed_ms.pop(task_id, None)
+        for task_id, task in list(self._throttled_by_task.items())[:limit]:
+            if self._allocations.running_by_id.get(task_id) is not task:
+                del self._throttled_by_task[task_id]
+                self._throttle_sent_ms_by_task.pop(task_id, None)
                 continue
-            if task_id in self._unconfirmed_ms:
+            if task_id in self._throttle_sent_ms_by_task:
                 continue
-            wanted = task.granted.cpu_millis - task.reserved.cpu_millis
+            wanted = (
+                task.initially_reserved.cpu_millis - task.reserved.cpu_millis
+            )
             worker = task.worker
-            free = worker.free_cpu - worker.headroom_cpu
-            if wanted <= 0 or worker.kept != NO_RESOURCES or wanted > free:
+            free = worker.free_cpu_millis - worker.headroom_cpu_millis
+            if (
+                wanted <= 0
+                or worker.earmarked != NO_RESOURCES
+                or wanted > free
+            ):
                 continue
-            cpu_millis = task.granted.cpu_millis
+            cpu_millis = task.initially_reserved.cpu_millis
             reserved = task.reserved._replace(cpu_millis=cpu_millis)
-            self._books.resize(task, reserved)
-            task.evicted = False
-            del self._throttled[task_id]
-            found.append(_eviction(task, EvictionAction.THROTTLE, cpu_millis))
+            self._allocations.resize(task, reserved)
+            task.is_being_evicted = False
+            del self._throttled_by_task[task_id]
+            found.append(
+                _make_eviction(task, EvictionAction.THROTTLE, cpu_millis)
+            )
         return found
 
-    def confirm(self, task: RunningTask) -> None:
-        """Note that a worker has bounded a task."""
-        self._unconfirmed_ms.pop(task.request.task_id, None)
-        task.evicted = False
+    def confirm_throttle(self, task: RunningTask) -> None:
+        """Record that a worker confirmed the throttle of a task."""
+        self._throttle_sent_ms_by_task.pop(task.request.task_id, None)
+        task.is_being_evicted = False
 
-    def overdue(self, now_ms: int) -> list[Eviction]:
+    def escalate_overdue(self, now_ms: int) -> list[Eviction]:
         """Return stops of tasks whose checkpoint takes too long.
 
-        What was throttled without effect may be checkpointed from now on.
+        A task whose throttle was not confirmed in time is marked, so that it
+        may be checkpointed instead.
         """
-        for task_id, at_ms in list(self._unconfirmed_ms.items()):
-            if now_ms - at_ms >= THROTTLE_TIMEOUT_MS:
-                del self._unconfirmed_ms[task_id]
-                del self._throttled[task_id]
-                self._resist(task_id)
+        for task_id, sent_ms in list(self._throttle_sent_ms_by_task.items()):
+            if now_ms - sent_ms >= THROTTLE_TIMEOUT_MS:
+                del self._throttle_sent_ms_by_task[task_id]
+                del self._throttled_by_task[task_id]
+                self._mark_throttle_ignored(task_id)
         found = []
-        for task_id, at_ms in list(self._checkpointed_ms.items()):
-            task = self._books.running_by_id.get(task_id)
+        for task_id, sent_ms in list(self._checkpoint_sent_ms_by_task.items()):
+            task = self._allocations.running_by_id.get(task_id)
             if task is None:
-                del self._checkpointed_ms[task_id]
-            elif now_ms - at_ms >= STOP_AFTER_MS:
-                del self._checkpointed_ms[task_id]
-                found.append(_eviction(task, EvictionAction.STOP))
+                del self._checkpoint_sent_ms_by_task[task_id]
+            elif now_ms - sent_ms >= CHECKPOINT_TIMEOUT_MS:
+                del self._checkpoint_sent_ms_by_task[task_id]
+                found.append(_make_eviction(task, EvictionAction.STOP))
         return found
 
-    def _resist(self, task_id: str) -> None:
-        task = self._books.running_by_id.get(task_id)
+    def _mark_throttle_ignored(self, task_id: str) -> None:
+        task = self._allocations.running_by_id.get(task_id)
         if task is not None:
-            task.resists = True
-            task.evicted = False
-            self._books.mark_freed(task.worker)
+            task.ignores_throttle = True
+            task.is_being_evicted = False
+            self._allocations.mark_freed(task.worker)
 
-    def _apply(self, evictions: list[Eviction], now_ms: int) -> None:
+    def _record_all(self, evictions: list[Eviction], now_ms: int) -> None:
         for eviction in evictions:
-            task = self._books.running_by_id[eviction.task_id]
-            self._mark(eviction, task, now_ms)
+            task = self._allocations.running_by_id[eviction.task_id]
+            self._record_eviction(eviction, task, now_ms)
 
-    def _mark(
+    def _record_eviction(
         self, eviction: Eviction, task: RunningTask, now_ms: int
     ) -> None:
-        task.evicted = True
+        task.is_being_evicted = True
         if eviction.action is EvictionAction.THROTTLE:
-            self._throttled[eviction.task_id] = task
-            self._unconfirmed_ms[eviction.task_id] = now_ms
+            self._throttled_by_task[eviction.task_id] = task
+            self._throttle_sent_ms_by_task[eviction.task_id] = now_ms
         else:
-            self._checkpointed_ms[eviction.task_id] = now_ms
+            self._checkpoint_sent_ms_by_task[eviction.task_id] = now_ms
 
 
-def _plan(
-    worker: WorkerState, size: Resources, kind: Victims
+def _plan_on_worker(
+    worker: WorkerState, size: Resources, kind: VictimKind
 ) -> tuple[int, list[Eviction]] | None:
-    """Return the damage and the evictions that make room on a worker."""
+    """Return the cost and the evictions that make room on a worker.
+
+    Throttles that suffice are always cheaper than checkpoints.
+    """
     if not size.fits(worker.shape.capacity):
         return None
     free = worker.free
@@ -178,72 +206,76 @@
         (
             task
             for task in worker.tasks_by_id.values()
-            if _may_evict(task, kind)
+            if _is_candidate(task, kind)
         ),
-        key=_damage,
+        key=_eviction_cost,
     )
-    throttles = _throttles(victims, size, free)
+    throttles = _plan_throttles(victims, size, free)
     if throttles is not None:
         return len(throttles), throttles
     evictions: list[Eviction] = []
-    damage = 0
+    cost = 0
     for task in victims:
         if size.fits(free):
             break
-        evictions.append(_eviction(task, EvictionAction.CHECKPOINT))
+        evictions.append(_make_eviction(task, EvictionAction.CHECKPOINT))
         free = free.plus(task.reserved)
-        damage += 1_000 + max(0, _damage(task) + BORROWED_GAIN)
-    return (damage, evictions) if evictions and size.fits(free) else None
+        cost += 1_000 + max(0, _eviction_cost(task) + BORROWED_COST_DISCOUNT)
+    return (cost, evictions) if evictions and size.fits(free) else None
 
 
-def _throttles(
+def _plan_throttles(
     victims: list[RunningTask], size: Resources, free: Resources
 ) -> list[Eviction] | None:
-    """Return throttles that suffice when only processors are lacking."""
+    """Return throttles that free enough CPU, if only CPU is missing."""
     if size._replace(cpu_millis=0).fits(free._replace(cpu_millis=0)) is False:
         return None
     missing = size.cpu_millis - free.cpu_millis
     found: list[Eviction] = []
-    by_size = sorted(
-        (task for task in victims if not task.resists),
+    largest_first = sorted(
+        (task for task in victims if not task.ignores_throttle),
         key=lambda task: -task.reserved.cpu_millis,
     )
-    for task in by_size:
+    for task in largest_first:
         if missing <= 0:
             break
-        left = max(
-            MIN_THROTTLED_MILLIS, task.reserved.cpu_millis // THROTTLE_DIVISOR
+        throttled_cpu_millis = max(
+            MIN_THROTTLED_CPU_MILLIS,
+            task.reserved.cpu_millis // THROTTLE_CPU_DIVISOR,
         )
-        if left >= task.reserved.cpu_millis:
+        if throttled_cpu_millis >= task.reserved.cpu_millis:
             continue
-        missing -= task.reserved.cpu_millis - left
-        found.append(_eviction(task, EvictionAction.THROTTLE, left))
+        missing -= task.reserved.cpu_millis - throttled_cpu_millis
+        found.append(
+            _make_eviction(task, EvictionAction.THROTTLE, throttled_cpu_millis)
+        )
     return found if found and missing <= 0 else None
 
 
-def _may_evict(task: RunningTask, kind: Victims) -> bool:
+def _is_candidate(task: RunningTask, kind: VictimKind) -> bool:
     request = task.request
-    if task.evicted or request.work_class not in BULK_CLASSES:
+    if task.is_being_evicted or request.work_class not in BULK_CLASSES:
         return False
-    if kind is Victims.BORROWED:
+    if kind is VictimKind.BORROWED:
         return task.borrowed
-    if kind is Victims.BULK:
+    if kind is VictimKind.BULK:
         return True
     return request.work_class is WorkClass.BATCH and not request.deadline_ms
 
 
-def _damage(task: RunningTask) -> int:
-    damage = task.reserved.cpu_millis
+def _eviction_cost(task: RunningTask) -> int:
+    """Return the cost of an eviction, in thousandths of a core."""
+    cost = task.reserved.cpu_millis
     if task.request.work_class is WorkClass.GANG:
-        damage += GANG_DAMAGE
+        cost += GANG_EVICTION_COST
     if task.request.deadline_ms:
-        damage += DEADLINE_DAMAGE
+        cost += DEADLINE_EVICTION_COST
     if task.borrowed:
-        damage -= BORROWED_GAIN
-    return damage
+        cost -= BORROWED_COST_DISCOUNT
+    return cost
 
 
-def _eviction(
+def _make_eviction(
     task: RunningTask, action: EvictionAction, cpu_millis: int = 0
 ) -> Eviction:
     worker_id = task.worker.shape.worker_id
--- a/src/magnoliapitch/decision/registry.py
+++ b/src/magnoliapitch/decision/registry.py
@@ -1,4 +1,4 @@
-"""Registry of scheduling policies."""
+"""Registry of scheduling policies by name."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 def scheduling_policy(
     name: str,
 ) -> Callable[[SchedulerFactory], SchedulerFactory]:
-    """Register a factory of schedulers under a policy name."""
+    """Return a decorator that registers a scheduler factory.
+
+    :param name: policy name, as used in the settings.
+    """
 
     def register(factory: SchedulerFactory) -> SchedulerFactory:
         _factories_by_name[name] = factory
@@ -29,8 +32,10 @@
 def make_scheduler(
     name: str, options: PolicyOptions | None = None
 ) -> Scheduler:
-    """Build a scheduler of the named policy.
+    """Create a scheduler with the named policy.
 
+    :param name: registered policy name.
+    :param options: configuration of the policy; the defaults if ``None``.
     :raises UnknownPolicyError: if no policy has that name.
     """
     factory = _factories_by_name.get(name)
--- a/src/magnoliapitch/decision/retry.py
+++ b/src/magnoliapitch/decision/retry.py
@@ -1,4 +1,4 @@
-"""When a failed task is tried again."""
+"""Delay and memory of the next attempt of a failed task."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 BASE_DELAY_MS = 1_000
 MAX_DELAY_MS = 600_000
-BUDGET_PER_START = 0.2
-MAX_BUDGET = 50.0
+BUDGET_RETRIES_PER_START = 0.2
+MAX_BUDGET_RETRIES = 50.0
 EMPTY_BUDGET_DELAY_MS = 30_000
-GROWTH = 1.5
-MAX_EXPONENT = 10
+MEMORY_GROWTH_FACTOR = 1.5
+MAX_BACKOFF_EXPONENT = 10
 
 
 class RetryPolicy:
-    """Backoff with full jitter, and a budget for each entry.
+    """Exponential backoff with full jitter, and a retry budget by entry.
 
-    Every start of an entry earns a part of a retry. An entry that has
-    spent its budget waits longer, so that what always fails takes little
-    capacity from what does not.
+    Each start of a task adds a fraction of a retry to the budget of its
+    entry. Without budget an entry waits longer, so that tasks that always
+    fail take little capacity from others.
 
-    :param random: seeded source of jitter.
+    :param random: seeded random number generator for the jitter.
     """
 
     def __init__(self, random: np.random.Generator) -> None:
@@ -33,46 +33,56 @@
         self._budget_by_entry: dict[str, float] = {}
         self._failures_by_task: dict[str, int] = {}
 
-    def started(self, entry: str) -> None:
-        """Earn budget with a start."""
-        budget = self._budget_by_entry.get(entry, MAX_BUDGET)
-        earned = min(MAX_BUDGET, budget + BUDGET_PER_START)
+    def record_start(self, entry: str) -> None:
+        """Add to the budget of an entry after a start."""
+        budget = self._budget_by_entry.get(entry, MAX_BUDGET_RETRIES)
+        earned = min(MAX_BUDGET_RETRIES, budget + BUDGET_RETRIES_PER_START)
         self._budget_by_entry[entry] = earned
 
-    def failed(self, task_id: str) -> None:
-        """Count a failure of an attempt."""
-        key = _task_of(task_id)
+    def record_failure(self, task_id: str) -> None:
+        """Record that an attempt of a task failed.
+
+        :param task_id: id of the attempt, ``JOB/TASK/ATTEMPT``.
+        """
+        key = _task_key(task_id)
         self._failures_by_task[key] = self._failures_by_task.get(key, 0) + 1
 
-    def finished(self, task_id: str) -> None:
-        """Forget a task that needs no more attempts."""
-        self._failures_by_task.pop(_task_of(task_id), None)
+    def forget_task(self, task_id: str) -> None:
+        """Remove the failures of a task that needs no more attempts."""
+        self._failures_by_task.pop(_task_key(task_id), None)
 
     def failures(self, task_id: str) -> int:
-        """Return how often the task of an attempt has failed."""
-        return self._failures_by_task.get(_task_of(task_id), 0)
+        """Return how many attempts of a task have failed."""
+        return self._failures_by_task.get(_task_key(task_id), 0)
 
     def delay_ms(self, entry: str, task_id: str) -> int:
-        """Return how long the next attempt of a task has to wait."""
+        """Return the delay of the next attempt, 0 if none has failed.
+
+        This takes one retry from the budget of the entry.
+        """
         failures = self.failures(task_id)
         if not failures:
             return 0
-        exponent = min(failures - 1, MAX_EXPONENT)
+        exponent = min(failures - 1, MAX_BACKOFF_EXPONENT)
         limit_ms = min(MAX_DELAY_MS, BASE_DELAY_MS << exponent)
-        budget = self._budget_by_entry.get(entry, MAX_BUDGET)
+        budget = self._budget_by_entry.get(entry, MAX_BUDGET_RETRIES)
         if budget < 1:
             limit_ms = max(limit_ms, EMPTY_BUDGET_DELAY_MS)
         else:
             self._budget_by_entry[entry] = budget - 1
         return 1 + int(self._random.integers(limit_ms))
 
-    def floor_mb(self, task_id: str, reserved_mb: int) -> int:
-        """Return the memory for the next attempt of a failed task."""
+    def min_memory_mb(self, task_id: str, declared_mb: int) -> int:
+        """Return the least memory for the next attempt, 0 if none has failed.
+
+        :param declared_mb: memory that the task declares.
+        """
         failures = self.failures(task_id)
         if not failures:
             return 0
-        return int(reserved_mb * GROWTH**failures)
+        return int(declared_mb * MEMORY_GROWTH_FACTOR**failures)
 
 
-def _task_of(task_id: str) -> str:
+def _task_key(task_id: str) -> str:
+    """Return the ``JOB/TASK`` part of an attempt id."""
     return task_id.rpartition("/")[0]
--- a/src/magnoliapitch/decision/synchronized.py
+++ b/src/magnoliapitch/decision/synchronized.py
@@ -1,4 +1,4 @@
-"""A scheduler that several threads may call."""
+"""Thread-safe wrapper of a scheduler."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class SynchronizedScheduler:
-    """Passes calls on one at a time.
+    """Scheduler that serializes all calls with a lock.
 
-    The job manager's thread decides; listeners' threads ask for refusals
-    and explanations.
+    The job manager's thread asks for decisions, while the threads of the
+    HTTP listeners ask for explanations and whether a task can ever run.
     """
 
     def __init__(self, scheduler: Scheduler) -> None:
@@ -32,82 +32,84 @@
         self._lock = threading.Lock()
 
     def set_catalogue(self, by_name: Mapping[str, CatalogueEntry]) -> None:
-        """Use these catalogue entries from now on."""
+        """Replace the catalogue."""
         with self._lock:
             self._scheduler.set_catalogue(by_name)
 
     def add_worker(self, worker: WorkerShape) -> None:
-        """Add a worker, or replace its capacity."""
+        """Add a worker, or update its capacity if it is known."""
         with self._lock:
             self._scheduler.add_worker(worker)
 
     def remove_worker(self, worker_id: str) -> None:
-        """Forget a worker; its reservations are dropped."""
+        """Remove a worker and the reservations of its tasks."""
         with self._lock:
             self._scheduler.remove_worker(worker_id)
 
     def set_withheld(self, worker_id: str, withheld: Resources) -> None:
-        """Withhold capacity that an earlier owner may have granted."""
+        """Set the capacity of a worker that must not be used."""
         with self._lock:
             self._scheduler.set_withheld(worker_id, withheld)
 
     def adopt(
         self, task: TaskRequest, worker_id: str, reserved: Resources
     ) -> None:
-        """Count a task that already runs on a worker."""
+        """Add a task that is already running."""
         with self._lock:
             self._scheduler.adopt(task, worker_id, reserved)
 
     def submit(self, tasks: tuple[TaskRequest, ...]) -> None:
-        """Queue tasks; a known task id is ignored."""
+        """Add tasks to the queue; ignore those whose id is known."""
         with self._lock:
             self._scheduler.submit(tasks)
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Drop a job's queued tasks; return its running task ids."""
+        """Remove the queued tasks of a job; return its running task ids."""
         with self._lock:
             return self._scheduler.cancel(job_id)
 
-    def ended(self, task_id: str, outcome: TaskOutcome, now_ms: int) -> None:
-        """Free the reservation of a task that surely runs no more."""
+    def record_task_end(
+        self, task_id: str, outcome: TaskOutcome, now_ms: int
+    ) -> None:
+        """Release the resources of a task that is certain to have ended."""
         with self._lock:
-            self._scheduler.ended(task_id, outcome, now_ms)
+            self._scheduler.record_task_end(task_id, outcome, now_ms)
 
     def report_usage(
         self, task_id: str, usage: Resources, now_ms: int
     ) -> None:
-        """Note a usage report of a running task."""
+        """Record the resource usage that a running task reported."""
         with self._lock:
             self._scheduler.report_usage(task_id, usage, now_ms)
 
-    def resized(self, task_id: str, reserved: Resources) -> None:
-        """Note that a worker confirmed a new bound on a running task."""
+    def record_resize(self, task_id: str, reserved: Resources) -> None:
+        """Record that a worker confirmed the new size of a running task."""
         with self._lock:
-            self._scheduler.resized(task_id, reserved)
+            self._scheduler.record_resize(task_id, reserved)
 
     def decide(self, now_ms: int) -> Decision:
-        """Return the next decision, bounded in work."""
+        """Return what to start and evict now; each call does bounded work."""
         with self._lock:
             return self._scheduler.decide(now_ms)
 
     def explain(self, job_id: str, now_ms: int) -> Explanation | None:
-        """Tell why a queued job waits."""
+        """Return why a job waits, or ``None`` if none of its tasks do."""
         with self._lock:
             return self._scheduler.explain(job_id, now_ms)
 
-    def refusal(
+    def infeasibility_reason(
         self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
     ) -> str:
-        """Tell why a task can never run on the fleet, or return ''."""
+        """Return why a task can never run on a fleet, or an empty string."""
         with self._lock:
-            return self._scheduler.refusal(task, fleet)
+            return self._scheduler.infeasibility_reason(task, fleet)
 
-    def free(self) -> Resources:
-        """Return the unreserved capacity."""
+    def free_capacity(self) -> Resources:
+        """Return the capacity that is neither reserved nor withheld."""
         with self._lock:
-            return self._scheduler.free()
+            return self._scheduler.free_capacity()
 
-    def queued(self) -> int:
-        """Return the number of waiting tasks."""
+    def queued_count(self) -> int:
+        """Return the number of queued tasks."""
         with self._lock:
-            return self._scheduler.queued()
+            return self._scheduler.queued_count()
--- a/src/magnoliapitch/decision/weighted.py
+++ b/src/magnoliapitch/decision/weighted.py
@@ -1,4 +1,4 @@
-"""The default policy: classes, deadlines, shares and learned sizes."""
+"""The default policy: work classes, deadlines, fair shares and estimates."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 import numpy as np
 
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.decision.admission import refusal_of
-from magnoliapitch.decision.allocations import Books
+from magnoliapitch.decision.admission import find_infeasibility
+from magnoliapitch.decision.allocations import Allocations
+from magnoliapitch.decision.decision_round import DecisionRound
 from magnoliapitch.decision.dispatch import Dispatcher
 from magnoliapitch.decision.estimate import Estimates
 from magnoliapitch.decision.explanation import StartRate
 from magnoliapitch.decision.explanation import explain_wait
 from magnoliapitch.decision.finder import BULK_CLASSES
 from magnoliapitch.decision.finder import WorkerFinder
-from magnoliapitch.decision.health import HealthBook
-from magnoliapitch.decision.start_reservation import HoldPlanner
+from magnoliapitch.decision.health import WorkerHealthTracker
 from magnoliapitch.decision.queue import TaskGroup
 from magnoliapitch.decision.queue import TaskQueue
 from magnoliapitch.decision.reclaim import Reclaimer
 from magnoliapitch.decision.retry import RetryPolicy
-from magnoliapitch.decision.decision_round import Round
+from magnoliapitch.decision.start_reservation import StartReservationPlanner
 from magnoliapitch.job.spec import TaskOutcome
 from magnoliapitch.resource import Resources
 
@@ -32,248 +32,280 @@
     from collections.abc import Mapping
 
     from magnoliapitch.catalogue.entry import CatalogueEntry
-    from magnoliapitch.decision.worker_state import RunningTask
     from magnoliapitch.decision.interface import Decision
     from magnoliapitch.decision.interface import Eviction
     from magnoliapitch.decision.interface import Explanation
     from magnoliapitch.decision.interface import TaskRequest
     from magnoliapitch.decision.interface import WorkerShape
+    from magnoliapitch.decision.worker_state import RunningTask
     from magnoliapitch.policy.options import PolicyOptions
 
 
 FULL_PASS_INTERVAL_MS = 1_000
-MAX_DUE = 64
-MAX_RESTORES = 4
+MAX_DUE_GROUPS = 64
+MAX_LIFTED_THROTTLES = 4
 BROKEN_JOB_DELAY_MS = 120_000
-LEARN_AFTER_MS = 20_000
-FLOOR_PERCENT = 110
+MIN_RUN_FOR_USAGE_SAMPLE_MS = 20_000
+MIN_MEMORY_PERCENT = 110
 
 
-class Abilities(NamedTuple):
-    """Parts of the policy, to compare it with its earlier versions.
+class PolicyFeatures(NamedTuple):
+    """Features of the policy that can be switched off to compare results.
 
-    :param learns: corrects declared sizes and run times.
-    :param holds: reserves starts for gangs and overdue work.
-    :param reclaims: evicts bulk work for urgent work and quotas.
-    :param quarantines: takes failing workers out of service.
+    :param learns_estimates: correct declared sizes and run times by
+        measured ones.
+    :param reserves_starts: reserve future starts for gangs and for work
+        classes that are close to starvation.
+    :param reclaims: evict bulk work for urgent work, services, deadlines and
+        quotas.
+    :param quarantines: place no tasks on workers where all tasks fail.
     """
 
-    learns: bool = True
-    holds: bool = True
+    learns_estimates: bool = True
+    reserves_starts: bool = True
     reclaims: bool = True
     quarantines: bool = True
 
 
 class WeightedScheduler:
-    """Serves classes in order, owners by share, and fits best.
+    """Scheduler with work classes, dominant shares and best-fit placement.
+
+    Work is done in passes of about a second. In a pass, a group whose search
+    for a worker failed is tried again only on workers with freed capacity.
 
-    :param options: weights of the deployment and the seed of jitter.
-    :param abilities: the parts that are switched on.
+    :param options: weights of the deployment and the random seed.
+    :param features: features that are switched on; all if ``None``.
     """
 
     def __init__(
-        self, options: PolicyOptions, abilities: Abilities | None = None
+        self, options: PolicyOptions, features: PolicyFeatures | None = None
     ) -> None:
-        chosen = abilities or Abilities()
+        enabled = features or PolicyFeatures()
         weights = options.weights
-        self._books = Books(weights.urgent_headroom)
+        self._allocations = Allocations(weights.urgent_headroom)
         self._queue = TaskQueue(weights.short_first)
-        self._estimates = Estimates(weights, chosen.learns)
-        self._health = HealthBook(chosen.quarantines)
+        self._estimates = Estimates(weights, enabled.learns_estimates)
+        self._health = WorkerHealthTracker(enabled.quarantines)
         self._retry = RetryPolicy(np.random.default_rng(options.seed))
-        self._reclaimer = Reclaimer(self._books, chosen.reclaims)
-        self._finder = WorkerFinder(self._books, self._estimates)
+        self._reclaimer = Reclaimer(self._allocations, enabled.reclaims)
+        self._finder = WorkerFinder(self._allocations, self._estimates)
         self._dispatcher = Dispatcher(
-            self._books,
+            self._allocations,
             self._queue,
             self._finder,
-            HoldPlanner(self._books) if chosen.holds else None,
+            StartReservationPlanner(self._allocations)
+            if enabled.reserves_starts
+            else None,
             self._reclaimer,
         )
-        self._rate = StartRate()
-        self._pending: list[Eviction] = []
-        self._floors_by_task: dict[str, int] = {}
+        self._start_rate = StartRate()
+        self._pending_evictions: list[Eviction] = []
+        self._min_memory_mb_by_task: dict[str, int] = {}
         self._now_ms = 0
-        self._submitted = 0
-        self._idle_stamp = (-1, -1)
+        self._submission_count = 0
+        self._idle_version = (-1, -1)
         self._next_pass_ms = 0
         self._pass_number = 0
 
     def set_catalogue(self, by_name: Mapping[str, CatalogueEntry]) -> None:
-        """Use these catalogue entries from now on."""
-        self._books.accounts.set_catalogue(by_name)
-        self._books.freed += 1
+        """Replace the catalogue."""
+        self._allocations.quota_usage.set_catalogue(by_name)
+        self._allocations.freed_count += 1
 
     def add_worker(self, worker: WorkerShape) -> None:
-        """Add a worker, or replace its capacity."""
-        if worker.worker_id in self._books.table.workers_by_id:
+        """Add a worker, or update its capacity if it is known."""
+        if worker.worker_id in self._allocations.workers.by_id:
             self._health.remove(worker.worker_id)
         self._health.add(worker)
-        self._books.add_worker(worker)
+        self._allocations.add_worker(worker)
 
     def remove_worker(self, worker_id: str) -> None:
-        """Forget a worker; its reservations are dropped."""
+        """Remove a worker and the reservations of its tasks."""
         self._health.remove(worker_id)
-        for task in self._books.remove_worker(worker_id):
+        for task in self._allocations.remove_worker(worker_id):
             request = task.request
             self._queue.forget_running(request.job_id, request.task_id)
 
     def set_withheld(self, worker_id: str, withheld: Resources) -> None:
-        """Withhold capacity that an earlier owner may have granted."""
-        self._books.set_withheld(worker_id, withheld)
+        """Set the capacity of a worker that must not be used."""
+        self._allocations.set_withheld(worker_id, withheld)
 
     def adopt(
         self, task: TaskRequest, worker_id: str, reserved: Resources
     ) -> None:
-        """Count a task that already runs on a worker."""
-        if task.task_id in self._books.running_by_id:
+        """Add a task that is already running."""
+        if task.task_id in self._allocations.running_by_id:
             return
-        self._queue.drop(task.task_id)
-        job = self._queue.job(task.job_id, task.submitted_ms)
+        self._queue.remove_task(task.task_id)
+        job = self._queue.get_or_create_job(task.job_id, task.submitted_ms)
         job.running[task.task_id] = None
-        self._books.adopt(task, worker_id, reserved)
+        self._allocations.adopt(task, worker_id, reserved)
 
     def submit(self, tasks: tuple[TaskRequest, ...]) -> None:
-        """Queue tasks; a known task id is ignored."""
-        self._submitted += 1
-        fresh = (task for task in tasks if not self._is_known(task.task_id))
-        for _, members in groupby(fresh, self._group_key):
+        """Add tasks to the queue; ignore those whose id is known."""
+        self._submission_count += 1
+        new_tasks = (
+            task for task in tasks if not self._is_known(task.task_id)
+        )
+        for _, members in groupby(new_tasks, self._group_key):
             self._submit_group(tuple(members))
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Drop a job's queued tasks; return its running task ids."""
+        """Remove the queued tasks of a job; return its running task ids."""
         self._health.forget_job(job_id)
         return self._queue.cancel(job_id)
 
-    def ended(self, task_id: str, outcome: TaskOutcome, now_ms: int) -> None:
-        """Free the reservation of a task that surely runs no more."""
-        task = self._books.end(task_id)
+    def record_task_end(
+        self, task_id: str, outcome: TaskOutcome, now_ms: int
+    ) -> None:
+        """Release the resources of a task that is certain to have ended."""
+        task = self._allocations.end(task_id)
         if task is None:
-            self._queue.drop(task_id)
+            self._queue.remove_task(task_id)
             return
         self._queue.forget_running(task.request.job_id, task_id)
         if outcome is TaskOutcome.FINISHED:
-            self._finished(task, now_ms)
+            self._handle_success(task, now_ms)
         elif outcome is TaskOutcome.FAILED:
-            self._failed(task, now_ms)
+            self._handle_failure(task, now_ms)
         else:
-            self._health.lost(task)
+            self._health.record_lost(task)
 
     def report_usage(
         self, task_id: str, usage: Resources, now_ms: int
     ) -> None:
-        """Note a usage report of a running task."""
-        task = self._books.running_by_id.get(task_id)
+        """Record the resource usage that a running task reported."""
+        task = self._allocations.running_by_id.get(task_id)
         if task is None:
             return
-        task.peak = Resources(
-            *(max(old, new) for old, new in zip(task.peak, usage, strict=True))
+        task.peak_usage = Resources(
+            *(
+                max(old, new)
+                for old, new in zip(task.peak_usage, usage, strict=True)
+            )
         )
-        is_ripe = now_ms - task.started_ms >= LEARN_AFTER_MS
-        if is_ripe and not task.learned:
+        has_run_long_enough = (
+            now_ms - task.started_ms >= MIN_RUN_FOR_USAGE_SAMPLE_MS
+        )
+        if has_run_long_enough and not task.is_usage_recorded:
             self._learn_usage(task)
         if usage.memory_mb > task.reserved.memory_mb:
-            self._grow(task, usage.memory_mb, now_ms)
+            self._handle_memory_growth(task, usage.memory_mb, now_ms)
 
-    def resized(self, task_id: str, reserved: Resources) -> None:
-        """Note that a worker confirmed a new bound on a running task."""
-        task = self._books.running_by_id.get(task_id)
+    def record_resize(self, task_id: str, reserved: Resources) -> None:
+        """Record that a worker confirmed the new size of a running task."""
+        task = self._allocations.running_by_id.get(task_id)
         if task is None or reserved.cpu_millis >= task.reserved.cpu_millis:
             return
-        self._reclaimer.confirm(task)
+        self._reclaimer.confirm_throttle(task)
         cpu_millis = reserved.cpu_millis
-        self._books.resize(task, task.reserved._replace(cpu_millis=cpu_millis))
+        self._allocations.resize(
+            task, task.reserved._replace(cpu_millis=cpu_millis)
+        )
 
     def decide(self, now_ms: int) -> Decision:
-        """Return the next decision, bounded in work."""
+        """Return what to start and evict now; each call does bounded work."""
         self._now_ms = now_ms
         if now_ms >= self._next_pass_ms:
             self._pass_number += 1
             self._next_pass_ms = now_ms + FULL_PASS_INTERVAL_MS
-            self._books.changed_by_id.clear()
-            self._idle_stamp = (-1, -1)
-        turn = Round(now_ms, self._pass_number)
-        turn.evictions.extend(self._pending)
-        self._pending.clear()
-        for group in self._queue.due(now_ms, MAX_DUE):
+            self._allocations.freed_workers_by_id.clear()
+            self._idle_version = (-1, -1)
+        decision_round = DecisionRound(now_ms, self._pass_number)
+        decision_round.evictions.extend(self._pending_evictions)
+        self._pending_evictions.clear()
+        for group in self._queue.pop_due(now_ms, MAX_DUE_GROUPS):
             self._queue.push(group)
-            self._submitted += 1
+            self._submission_count += 1
         if self._is_idle():
-            return turn.decision(has_more=False)
-        stamp = (self._books.freed, self._submitted)
-        self._probe(turn)
-        self._dispatcher.serve(turn)
-        turn.evictions.extend(self._reclaimer.overdue(now_ms))
-        has_more = turn.is_full or turn.is_cut_short
-        if turn.may_search and not has_more:
-            self._books.changed_by_id.clear()
+            return decision_round.decision(has_more=False)
+        state_version = (self._allocations.freed_count, self._submission_count)
+        self._probe_quarantined_worker(decision_round)
+        self._dispatcher.serve(decision_round)
+        decision_round.evictions.extend(
+            self._reclaimer.escalate_overdue(now_ms)
+        )
+        has_more = (
+            decision_round.is_full or decision_round.has_unvisited_owners
+        )
+        if decision_round.may_search and not has_more:
+            self._allocations.freed_workers_by_id.clear()
         if not has_more:
-            self._idle_stamp = stamp
-            turn.evictions.extend(self._reclaimer.restore(MAX_RESTORES))
-        for placement in turn.placements:
-            task = self._books.running_by_id[placement.task_id]
-            self._retry.started(task.request.entry)
-        self._rate.add(len(turn.placements), now_ms)
-        return turn.decision(has_more)
+            self._idle_version = state_version
+            decision_round.evictions.extend(
+                self._reclaimer.lift_throttles(MAX_LIFTED_THROTTLES)
+            )
+        for placement in decision_round.placements:
+            task = self._allocations.running_by_id[placement.task_id]
+            self._retry.record_start(task.request.entry)
+        self._start_rate.record_starts(len(decision_round.placements), now_ms)
+        return decision_round.decision(has_more)
 
     def explain(self, job_id: str, now_ms: int) -> Explanation | None:
-        """Tell why a queued job waits."""
+        """Return why a job waits, or ``None`` if none of its tasks do."""
         job = self._queue.jobs_by_id.get(job_id)
         if job is None or not job.groups:
             return None
-        return explain_wait(self._queue, job, self._rate, now_ms)
+        return explain_wait(self._queue, job, self._start_rate, now_ms)
 
-    def refusal(
+    def infeasibility_reason(
         self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
     ) -> str:
-        """Tell why a task can never run on the fleet, or return ''."""
-        return refusal_of(task, fleet, self._books.accounts, self._estimates)
+        """Return why a task can never run on a fleet, or an empty string."""
+        return find_infeasibility(
+            task, fleet, self._allocations.quota_usage, self._estimates
+        )
 
-    def free(self) -> Resources:
-        """Return the unreserved capacity."""
-        return self._books.free
+    def free_capacity(self) -> Resources:
+        """Return the capacity that is neither reserved nor withheld."""
+        return self._allocations.free
 
-    def queued(self) -> int:
-        """Return the number of waiting tasks."""
+    def queued_count(self) -> int:
+        """Return the number of queued tasks."""
         return self._queue.waiting
 
     def probes(self) -> int:
-        """Return how many workers were examined, a measure of cost."""
-        return self._books.table.probes
+        """Return how many workers were examined so far, a measure of cost."""
+        return self._allocations.workers.probes
 
     def _is_known(self, task_id: str) -> bool:
         return (
             task_id in self._queue.groups_by_task
-            or task_id in self._books.running_by_id
+            or task_id in self._allocations.running_by_id
         )
 
     def _is_idle(self) -> bool:
-        return self._idle_stamp == (self._books.freed, self._submitted)
+        return self._idle_version == (
+            self._allocations.freed_count,
+            self._submission_count,
+        )
 
     def _group_key(self, task: TaskRequest) -> tuple[str, Resources, str]:
         failed = bool(self._retry.failures(task.task_id))
-        apart = failed or _task_key(task.task_id) in self._floors_by_task
-        return task.job_id, task.resources, task.task_id if apart else ""
+        is_separate = (
+            failed or _task_key(task.task_id) in self._min_memory_mb_by_task
+        )
+        return task.job_id, task.resources, task.task_id if is_separate else ""
 
     def _submit_group(self, tasks: tuple[TaskRequest, ...]) -> None:
         first = tasks[0]
         if first.resources.accelerators:
-            self._books.table.keeps_accelerators = True
-        job = self._queue.job(first.job_id, first.submitted_ms)
+            self._allocations.workers.has_accelerator_work = True
+        job = self._queue.get_or_create_job(first.job_id, first.submitted_ms)
         if first.gang_size > 1 and job.groups:
             group = job.groups[0]
-            group.sample = group.sample._replace(gang_size=first.gang_size)
+            group.template = group.template._replace(gang_size=first.gang_size)
             group.tasks_by_id.update({task.task_id: task for task in tasks})
-            self._queue.count(group, tasks)
+            self._queue.add_waiting(group, tasks)
             return
-        reserved_mb = first.resources.memory_mb
-        floor_mb = max(
-            self._floors_by_task.get(_task_key(first.task_id), 0),
-            self._retry.floor_mb(first.task_id, reserved_mb),
+        declared_mb = first.resources.memory_mb
+        min_memory_mb = max(
+            self._min_memory_mb_by_task.get(_task_key(first.task_id), 0),
+            self._retry.min_memory_mb(first.task_id, declared_mb),
         )
-        group = TaskGroup(job, tasks, floor_mb)
-        self._finder.refresh(group)
-        self._queue.count(group, tasks)
+        group = TaskGroup(job, tasks, min_memory_mb)
+        self._finder.refresh_estimates(group)
+        self._queue.add_waiting(group, tasks)
         delay_ms = self._delay_ms(first, group)
         if delay_ms:
             self._queue.delay(group, self._now_ms + delay_ms)
@@ -284,75 +316,93 @@
         delay_ms = self._retry.delay_ms(task.entry, task.task_id)
         if not delay_ms or not self._health.fails_everywhere(task.job_id):
             return delay_ms
-        group.reason = "it failed on several workers"
+        group.wait_reason = "the job failed on several workers"
         return delay_ms + BROKEN_JOB_DELAY_MS
 
-    def _finished(self, task: RunningTask, now_ms: int) -> None:
+    def _handle_success(self, task: RunningTask, now_ms: int) -> None:
         request = task.request
-        self._retry.finished(request.task_id)
-        self._floors_by_task.pop(_task_key(request.task_id), None)
-        if not task.learned:
+        self._retry.forget_task(request.task_id)
+        self._min_memory_mb_by_task.pop(_task_key(request.task_id), None)
+        if not task.is_usage_recorded:
             self._learn_usage(task)
-        if task.reserved.cpu_millis >= task.granted.cpu_millis:
+        if task.reserved.cpu_millis >= task.initially_reserved.cpu_millis:
             run_ms = now_ms - task.started_ms
             self._estimates.record_run(request.entry, run_ms, request.run_ms)
-        if self._health.succeeded(task):
-            self._books.table.set_open(task.worker, True)
-            self._books.mark_freed(task.worker)
+        if self._health.record_success(task):
+            self._allocations.workers.set_accepts_tasks(task.worker, True)
+            self._allocations.mark_freed(task.worker)
 
-    def _failed(self, task: RunningTask, now_ms: int) -> None:
-        self._retry.failed(task.request.task_id)
-        if self._health.failed(task, now_ms):
-            self._books.table.set_open(task.worker, False)
+    def _handle_failure(self, task: RunningTask, now_ms: int) -> None:
+        self._retry.record_failure(task.request.task_id)
+        if self._health.record_failure(task, now_ms):
+            self._allocations.workers.set_accepts_tasks(task.worker, False)
 
     def _learn_usage(self, task: RunningTask) -> None:
-        task.learned = True
+        task.is_usage_recorded = True
         request = task.request
         self._estimates.record_usage(
-            request.entry, task.peak, request.resources
+            request.entry, task.peak_usage, request.resources
         )
 
-    def _grow(self, task: RunningTask, memory_mb: int, now_ms: int) -> None:
-        """Reserve more for a task, or take memory back on its worker."""
+    def _handle_memory_growth(
+        self, task: RunningTask, memory_mb: int, now_ms: int
+    ) -> None:
+        """Handle a task that uses more memory than is reserved for it.
+
+        Its worker provides the memory if it has enough, else a bulk task
+        there is evicted, which may be the task itself.
+
+        :param memory_mb: memory that the task uses now.
+        """
         wanted_mb = memory_mb - task.reserved.memory_mb
-        if wanted_mb <= task.worker.free_memory:
+        if wanted_mb <= task.worker.free_memory_mb:
             reserved = task.reserved._replace(memory_mb=memory_mb)
-            self._books.resize(task, reserved)
+            self._allocations.resize(task, reserved)
             return
-        victim = _least_damage(task)
-        if victim is None or victim.evicted:
+        victim = _select_growth_victim(task)
+        if victim is None or victim.is_being_evicted:
             return
         if victim is task:
             key = _task_key(task.request.task_id)
-            self._floors_by_task[key] = memory_mb * FLOOR_PERCENT // 100
-        self._pending.extend(self._reclaimer.for_growth(victim, now_ms))
+            self._min_memory_mb_by_task[key] = (
+                memory_mb * MIN_MEMORY_PERCENT // 100
+            )
+        self._pending_evictions.extend(
+            self._reclaimer.plan_for_growth(victim, now_ms)
+        )
 
-    def _probe(self, turn: Round) -> None:
-        """Try one batch task on a quarantined worker whose time has come."""
-        if not self._health.any_quarantined():
+    def _probe_quarantined_worker(self, decision_round: DecisionRound) -> None:
+        """Start one batch task on a quarantined worker whose probe is due."""
+        if not self._health.has_quarantined():
             return
-        worker_id = self._health.due_probe(turn.now_ms)
-        worker = self._books.table.workers_by_id.get(worker_id)
-        group = self._queue.oldest_by_class[WorkClass.BATCH].peek()
+        worker_id = self._health.next_probe_worker(decision_round.now_ms)
+        worker = self._allocations.workers.by_id.get(worker_id)
+        group = self._queue.heap_by_class[WorkClass.BATCH].peek()
         if worker is None or group is None or group.is_gang:
             return
-        self._finder.refresh(group)
+        self._finder.refresh_estimates(group)
         if group.size.fits(worker.free):
-            task_id = self._dispatcher.start_on(turn, group, worker)
-            self._health.probe(worker_id, task_id)
+            task_id = self._dispatcher.start_on(decision_round, group, worker)
+            self._health.record_probe(worker_id, task_id)
 
 
-def _least_damage(task: RunningTask) -> RunningTask | None:
-    """Return the task to evict when one outgrows its worker."""
+def _select_growth_victim(task: RunningTask) -> RunningTask | None:
+    """Return the task to evict if a task needs more memory than is free.
+
+    This is the task itself if it is bulk work, else the bulk task with the
+    least reserved CPU on its worker, or ``None`` if there is none.
+    """
     if task.request.work_class in BULK_CLASSES:
         return task
     bulk = [
         item
         for item in task.worker.tasks_by_id.values()
-        if item.request.work_class in BULK_CLASSES and not item.evicted
+        if item.request.work_class in BULK_CLASSES
+        and not item.is_being_evicted
     ]
     return min(bulk, key=lambda item: item.reserved.cpu_millis, default=None)
 
 
 def _task_key(task_id: str) -> str:
+    """Return the ``JOB/TASK`` part of an attempt id."""
     return task_id.rpartition("/")[0]
--- a/src/magnoliapitch/decision/weighted_variants.py
+++ b/src/magnoliapitch/decision/weighted_variants.py
@@ -1,11 +1,11 @@
-"""The default policy and its earlier versions, by name."""
+"""The default policy, and variants with some features switched off."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from magnoliapitch.decision.registry import scheduling_policy
-from magnoliapitch.decision.weighted import Abilities
+from magnoliapitch.decision.weighted import PolicyFeatures
 from magnoliapitch.decision.weighted import WeightedScheduler
 
 
@@ -15,26 +15,26 @@
 
 @scheduling_policy("weighted")
 def make_weighted(options: PolicyOptions) -> WeightedScheduler:
-    """Return the whole policy."""
+    """Create the default policy, with all features."""
     return WeightedScheduler(options)
 
 
 @scheduling_policy("weighted-declared")
 def make_weighted_declared(options: PolicyOptions) -> WeightedScheduler:
-    """Return the policy that only orders and fits, by declared sizes."""
-    abilities = Abilities(False, False, False, False)
-    return WeightedScheduler(options, abilities)
+    """Create the variant that orders and places by declared sizes only."""
+    features = PolicyFeatures(False, False, False, False)
+    return WeightedScheduler(options, features)
 
 
 @scheduling_policy("weighted-learning")
 def make_weighted_learning(options: PolicyOptions) -> WeightedScheduler:
-    """Return the policy that also corrects declared sizes."""
-    abilities = Abilities(True, False, False, False)
-    return WeightedScheduler(options, abilities)
+    """Create the variant that also corrects declared sizes and run times."""
+    features = PolicyFeatures(True, False, False, False)
+    return WeightedScheduler(options, features)
 
 
 @scheduling_policy("weighted-reclaiming")
 def make_weighted_reclaiming(options: PolicyOptions) -> WeightedScheduler:
-    """Return the policy that lacks only the quarantine."""
-    abilities = Abilities(True, True, True, False)
-    return WeightedScheduler(options, abilities)
+    """Create the variant that has all features but the quarantine."""
+    features = PolicyFeatures(True, True, True, False)
+    return WeightedScheduler(options, features)
--- a/src/magnoliapitch/decision/worker_state.py
+++ b/src/magnoliapitch/decision/worker_state.py
@@ -1,8 +1,8 @@
-"""Free capacity of the workers, indexed for constant-time search.
+"""State of running tasks and workers, and an index of workers by free CPU.
 
-Workers are kept in buckets by free whole cores, so that a search starts at
-the fullest worker that may fit and its cost does not grow with the number
-of workers.
+The index groups workers into buckets by whole free cores, so that a search
+can start at the fullest worker that may fit, and its cost does not grow with
+the number of workers.
 """
 
 from __future__ import annotations
@@ -21,31 +21,33 @@
     from magnoliapitch.decision.interface import WorkerShape
 
 
-MILLIS_PER_LEVEL = 1_000
-TOP_LEVEL = 255
+CPU_MILLIS_PER_BUCKET = 1_000
+LAST_BUCKET_INDEX = 255
 
 
 class RunningTask:
-    """A task that holds a reservation.
-
-    :ivar ends_ms: expected end, local clock.
-    :ivar borrowed: whether it runs beyond the quota of its entry.
-    :ivar granted: reservation with which it was started.
-    :ivar learned: whether its use was taken into the estimates.
-    :ivar evicted: whether it was told to end or to shrink.
-    :ivar resists: whether it was throttled without effect.
+    """A running task and the resources that are reserved for it.
+
+    :ivar reserved: resources that are reserved now.
+    :ivar initially_reserved: resources that were reserved at the start.
+    :ivar expected_end_ms: expected end, local clock.
+    :ivar borrowed: whether it exceeded the quota of its entry at the start.
+    :ivar peak_usage: largest reported usage of each resource.
+    :ivar is_usage_recorded: whether the estimates include its usage.
+    :ivar is_being_evicted: whether an eviction of any kind is under way.
+    :ivar ignores_throttle: whether a throttle had no effect on it.
     """
 
     __slots__ = (
         "borrowed",
-        "ends_ms",
-        "evicted",
-        "granted",
-        "learned",
-        "peak",
+        "expected_end_ms",
+        "ignores_throttle",
+        "initially_reserved",
+        "is_being_evicted",
+        "is_usage_recorded",
+        "peak_usage",
         "request",
         "reserved",
-        "resists",
         "started_ms",
         "worker",
     )
@@ -56,170 +58,191 @@
         worker: WorkerState,
         reserved: Resources,
         started_ms: int,
-        ends_ms: int,
+        expected_end_ms: int,
     ) -> None:
         self.request = request
         self.worker = worker
         self.reserved = reserved
-        self.granted = reserved
+        self.initially_reserved = reserved
         self.started_ms = started_ms
-        self.ends_ms = ends_ms
+        self.expected_end_ms = expected_end_ms
         self.borrowed = False
-        self.evicted = False
-        self.resists = False
-        self.peak = NO_RESOURCES
-        self.learned = False
+        self.is_being_evicted = False
+        self.ignores_throttle = False
+        self.peak_usage = NO_RESOURCES
+        self.is_usage_recorded = False
 
 
-class SlotHold(NamedTuple):
-    """Share of a worker that is held for a reserved start.
+class WorkerReservation(NamedTuple):
+    """Capacity of one worker that is reserved for a future start.
 
-    :param owner: group that the start is reserved for.
-    :param at_ms: expected start.
-    :param spare: what may still run beyond the start.
+    :param for_group: group of tasks that the start is reserved for.
+    :param start_ms: expected start.
+    :param spare: capacity for other bulk tasks that end after that start.
     """
 
-    owner: object
-    at_ms: int
+    for_group: object
+    start_ms: int
     spare: Resources
 
 
 class WorkerState:
-    """Books of one worker.
-
-    :ivar free_cpu: thousandths of a core neither reserved nor withheld.
-    :ivar urgent_cpu: thousandths of a core reserved by urgent work.
-    :ivar kept: capacity taken back for urgent work and services.
-    :ivar kept_until_ms: when that expires.
-    :ivar is_open: whether ordinary tasks may be placed here.
+    """Capacity and running tasks of one worker.
+
+    :param headroom: share of its CPU that bulk work leaves free.
+    :ivar free_cpu_millis: CPU that is neither reserved nor withheld.
+    :ivar headroom_cpu_millis: CPU that bulk work leaves to urgent work.
+    :ivar urgent_cpu_millis: CPU that is reserved for urgent tasks.
+    :ivar earmarked: capacity taken back from bulk work for other tasks.
+    :ivar earmarked_until_ms: when bulk work may use that again.
+    :ivar reservation: capacity reserved for a future start, if any.
+    :ivar accepts_tasks: whether tasks may be placed here; a quarantined
+        worker gets only probes.
+    :ivar withheld: capacity that must not be used.
+    :ivar bucket_index: bucket of the index that lists it, -1 if none.
+    :ivar bucket_position: position in that bucket.
     """
 
     __slots__ = (
+        "accepts_tasks",
+        "bucket_index",
+        "bucket_position",
+        "earmarked",
+        "earmarked_until_ms",
         "free_accelerators",
-        "free_cpu",
-        "free_memory",
-        "headroom_cpu",
-        "hold",
-        "is_open",
-        "kept",
-        "kept_until_ms",
-        "level",
-        "position",
+        "free_cpu_millis",
+        "free_memory_mb",
+        "headroom_cpu_millis",
+        "reservation",
         "shape",
         "tasks_by_id",
-        "urgent_cpu",
+        "urgent_cpu_millis",
         "withheld",
     )
 
     def __init__(self, shape: WorkerShape, headroom: float) -> None:
         self.shape = shape
-        self.free_cpu = shape.capacity.cpu_millis
-        self.free_memory = shape.capacity.memory_mb
+        self.free_cpu_millis = shape.capacity.cpu_millis
+        self.free_memory_mb = shape.capacity.memory_mb
         self.free_accelerators = shape.capacity.accelerators
-        self.headroom_cpu = int(shape.capacity.cpu_millis * headroom)
-        self.urgent_cpu = 0
-        self.kept = NO_RESOURCES
-        self.kept_until_ms = 0
-        self.hold: SlotHold | None = None
-        self.is_open = True
+        self.headroom_cpu_millis = int(shape.capacity.cpu_millis * headroom)
+        self.urgent_cpu_millis = 0
+        self.earmarked = NO_RESOURCES
+        self.earmarked_until_ms = 0
+        self.reservation: WorkerReservation | None = None
+        self.accepts_tasks = True
         self.withheld = NO_RESOURCES
         self.tasks_by_id: dict[str, RunningTask] = {}
-        self.level = -1
-        self.position = -1
+        self.bucket_index = -1
+        self.bucket_position = -1
 
     @property
     def free(self) -> Resources:
         """Capacity that is neither reserved nor withheld."""
         return Resources(
-            self.free_cpu, self.free_memory, self.free_accelerators
+            self.free_cpu_millis, self.free_memory_mb, self.free_accelerators
         )
 
-    def bulk_cpu(self) -> int:
-        """Return the free processors beyond the headroom."""
-        return self.free_cpu - max(0, self.headroom_cpu - self.urgent_cpu)
+    def free_bulk_cpu_millis(self) -> int:
+        """Return the free CPU that bulk work may use, without the headroom."""
+        return self.free_cpu_millis - max(
+            0, self.headroom_cpu_millis - self.urgent_cpu_millis
+        )
 
-    def take(self, amount: Resources) -> None:
-        """Subtract from the free capacity."""
-        self.free_cpu -= amount.cpu_millis
-        self.free_memory -= amount.memory_mb
+    def allocate(self, amount: Resources) -> None:
+        """Subtract resources from the free capacity."""
+        self.free_cpu_millis -= amount.cpu_millis
+        self.free_memory_mb -= amount.memory_mb
         self.free_accelerators -= amount.accelerators
 
-    def give(self, amount: Resources) -> None:
-        """Add to the free capacity."""
-        self.free_cpu += amount.cpu_millis
-        self.free_memory += amount.memory_mb
+    def release(self, amount: Resources) -> None:
+        """Add resources to the free capacity."""
+        self.free_cpu_millis += amount.cpu_millis
+        self.free_memory_mb += amount.memory_mb
         self.free_accelerators += amount.accelerators
 
 
-class FreeIndex:
-    """Workers in buckets by free whole cores."""
+class FreeCpuIndex:
+    """Workers in buckets by whole free cores.
+
+    :ivar count: number of workers.
+    """
 
     def __init__(self) -> None:
         self._buckets: list[list[WorkerState]] = [
-            [] for _ in range(TOP_LEVEL + 1)
+            [] for _ in range(LAST_BUCKET_INDEX + 1)
         ]
-        self._mask = 0
-        self._cursor = 0
+        self._nonempty_mask = 0
+        self._rotation_count = 0
         self.count = 0
 
     def insert(self, worker: WorkerState) -> None:
         """Add a worker."""
-        level = _level_of(worker.free_cpu)
-        bucket = self._buckets[level]
-        worker.level = level
-        worker.position = len(bucket)
+        bucket_index = _bucket_index_of(worker.free_cpu_millis)
+        bucket = self._buckets[bucket_index]
+        worker.bucket_index = bucket_index
+        worker.bucket_position = len(bucket)
         bucket.append(worker)
-        self._mask |= 1 << level
+        self._nonempty_mask |= 1 << bucket_index
         self.count += 1
 
     def remove(self, worker: WorkerState) -> None:
         """Remove a worker, in constant time."""
-        bucket = self._buckets[worker.level]
+        bucket = self._buckets[worker.bucket_index]
         last = bucket.pop()
         if last is not worker:
-            bucket[worker.position] = last
-            last.position = worker.position
+            bucket[worker.bucket_position] = last
+            last.bucket_position = worker.bucket_position
         if not bucket:
-            self._mask &= ~(1 << worker.level)
-        worker.level = -1
+            self._nonempty_mask &= ~(1 << worker.bucket_index)
+        worker.bucket_index = -1
         self.count -= 1
 
     def update(self, worker: WorkerState) -> None:
-        """Move a worker whose free capacity changed."""
-        if worker.level < 0 or worker.level == _level_of(worker.free_cpu):
+        """Move a worker to the bucket for its free CPU."""
+        if worker.bucket_index < 0 or worker.bucket_index == _bucket_index_of(
+            worker.free_cpu_millis
+        ):
             return
         self.remove(worker)
         self.insert(worker)
 
-    def most_free_cpu(self) -> int:
-        """Return a bound on the free processors of any worker."""
-        level = self._mask.bit_length()
-        return level * MILLIS_PER_LEVEL if level <= TOP_LEVEL else 1 << 62
+    def max_free_cpu_millis(self) -> int:
+        """Return an upper bound of the free CPU of any worker."""
+        bucket_index = self._nonempty_mask.bit_length()
+        return (
+            bucket_index * CPU_MILLIS_PER_BUCKET
+            if bucket_index <= LAST_BUCKET_INDEX
+            else 1 << 62
+        )
 
     def fullest_first(self, cpu_millis: int) -> Iterator[WorkerState]:
-        """Iterate from the fullest worker with that many processors."""
-        level = _level_of(cpu_millis)
-        mask = self._mask >> level << level
+        """Iterate over workers from the bucket of ``cpu_millis`` upwards.
+
+        Workers of the first bucket may have less free CPU than that.
+        """
+        bucket_index = _bucket_index_of(cpu_millis)
+        mask = self._nonempty_mask >> bucket_index << bucket_index
         while mask:
             lowest = mask & -mask
             yield from self._rotated(lowest.bit_length() - 1)
             mask ^= lowest
 
     def emptiest_first(self) -> Iterator[WorkerState]:
-        """Iterate from the worker with the most free processors."""
-        mask = self._mask
+        """Iterate over workers from the bucket with the most free CPU down."""
+        mask = self._nonempty_mask
         while mask:
-            level = mask.bit_length() - 1
-            yield from self._rotated(level)
-            mask ^= 1 << level
-
-    def _rotated(self, level: int) -> Iterator[WorkerState]:
-        bucket = self._buckets[level]
-        self._cursor += 1
-        start = self._cursor % len(bucket)
+            bucket_index = mask.bit_length() - 1
+            yield from self._rotated(bucket_index)
+            mask ^= 1 << bucket_index
+
+    def _rotated(self, bucket_index: int) -> Iterator[WorkerState]:
+        bucket = self._buckets[bucket_index]
+        self._rotation_count += 1
+        start = self._rotation_count % len(bucket)
         for index in range(start, start + len(bucket)):
             yield bucket[index % len(bucket)]
 
 
-def _level_of(cpu_millis: int) -> int:
-    return min(max(cpu_millis, 0) // MILLIS_PER_LEVEL, TOP_LEVEL)
+def _bucket_index_of(cpu_millis: int) -> int:
+    return min(max(cpu_millis, 0) // CPU_MILLIS_PER_BUCKET, LAST_BUCKET_INDEX)
--- a/src/magnoliapitch/entry/job_desk.py
+++ b/src/magnoliapitch/entry/job_desk.py
@@ -100,7 +100,9 @@
         task = _request(job, versioned.entry)
         reason = ""
         for unit in sorted(load_by_unit, key=load_by_unit.__getitem__):
-            reason = self._scheduler.refusal(task, shapes_by_unit[unit])
+            reason = self._scheduler.infeasibility_reason(
+                task, shapes_by_unit[unit]
+            )
             if not reason:
                 limit = versioned.entry.limits.queued
                 return self._bounded(job, unit, limit)
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -119,8 +119,8 @@
                 for worker_id, channel in self._channels_by_worker.items()
             },
             "running": sorted(self._tracker.lease_ids()),
-            "queued": self._scheduler.queued(),
-            "free": self._scheduler.free()._asdict(),
+            "queued": self._scheduler.queued_count(),
+            "free": self._scheduler.free_capacity()._asdict(),
         }
 
     def _step(self) -> None:
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -148,7 +148,7 @@
         """
         self._forget(channel, attempt)
         lease_id = attempt.task.task_id
-        self._scheduler.ended(lease_id, TaskOutcome.LOST, now_ms)
+        self._scheduler.record_task_end(lease_id, TaskOutcome.LOST, now_ms)
         self._backlog.add_task(attempt.key, now_ms)
 
     def forget_channel(self, channel: WorkerChannel, now_ms: int) -> None:
@@ -157,7 +157,9 @@
             self._forget(channel, attempt)
             if attempt.state is not AttemptState.ENDED:
                 lease_id = attempt.task.task_id
-                self._scheduler.ended(lease_id, TaskOutcome.LOST, now_ms)
+                self._scheduler.record_task_end(
+                    lease_id, TaskOutcome.LOST, now_ms
+                )
 
     def end_unreachable(
         self, channels_by_worker: Mapping[str, WorkerChannel], now_ms: int
@@ -233,7 +235,7 @@
         if lease.state is LeaseState.RUNNING:
             self._scheduler.report_usage(lease.lease_id, lease.usage, now_ms)
             if lease.resources != attempt.reserved:
-                self._scheduler.resized(lease.lease_id, lease.resources)
+                self._scheduler.record_resize(lease.lease_id, lease.resources)
             return
         self._end(channel, attempt, _outcome_of(attempt.task, lease), now_ms)
 
@@ -265,7 +267,7 @@
         now_ms: int,
     ) -> None:
         attempt.mark_ended(outcome)
-        self._scheduler.ended(attempt.task.task_id, outcome, now_ms)
+        self._scheduler.record_task_end(attempt.task.task_id, outcome, now_ms)
         self._repeat_end(channel, attempt)
 
     def _repeat_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
--- a/tests/decision/conftest.py
+++ b/tests/decision/conftest.py
@@ -20,8 +20,8 @@
     from magnoliapitch.decision.interface import Decision
 
 
-CORE = Resources(1_000, 1_000)
-PLAIN = PolicyWeights(urgent_headroom=0.0, short_first=0.5)
+ONE_CORE = Resources(1_000, 1_000)
+NO_PREFERENCE = PolicyWeights(urgent_headroom=0.0, short_first=0.5)
 
 
 def task(
@@ -45,7 +45,7 @@
         entry or f"{owner}-{work_class}",
         owner,
         work_class,
-        CORE.times(cores)._replace(accelerators=accelerators),
+        ONE_CORE.times(cores)._replace(accelerators=accelerators),
         run_ms,
         submitted_ms,
         deadline_ms,
@@ -53,10 +53,14 @@
     )
 
 
-class Bench:
-    """A scheduler with workers that do what it decides."""
+class SchedulerHarness:
+    """A scheduler with simulated workers and a clock that tests advance.
 
-    def __init__(self, weights: PolicyWeights = PLAIN) -> None:
+    :ivar now_ms: current time.
+    :ivar worker_by_task: worker of each running task, by task id.
+    """
+
+    def __init__(self, weights: PolicyWeights = NO_PREFERENCE) -> None:
         self.scheduler = WeightedScheduler(PolicyOptions(weights))
         self.now_ms = 0
         self.worker_by_task: dict[str, str] = {}
@@ -64,9 +68,11 @@
     def add_workers(
         self, count: int, cores: int = 4, accelerators: int = 0
     ) -> None:
-        known = len(self.scheduler._books.table.workers_by_id)
-        for number in range(known, known + count):
-            capacity = CORE.times(cores)._replace(accelerators=accelerators)
+        first_number = len(self.scheduler._allocations.workers.by_id)
+        for number in range(first_number, first_number + count):
+            capacity = ONE_CORE.times(cores)._replace(
+                accelerators=accelerators
+            )
             shape = WorkerShape(
                 f"w{number}", f"rack{number % 2}", "zone", capacity
             )
@@ -91,16 +97,16 @@
             self.worker_by_task[placement.task_id] = placement.worker_id
         return decision
 
-    def started(self, after_ms: int = 0) -> list[str]:
+    def start_tasks(self, after_ms: int = 0) -> list[str]:
         return [item.task_id for item in self.decide(after_ms).placements]
 
     def end(
         self, task_id: str, outcome: TaskOutcome = TaskOutcome.FINISHED
     ) -> None:
         del self.worker_by_task[task_id]
-        self.scheduler.ended(task_id, outcome, self.now_ms)
+        self.scheduler.record_task_end(task_id, outcome, self.now_ms)
 
 
 @pytest.fixture
-def bench() -> Bench:
-    return Bench()
+def harness() -> SchedulerHarness:
+    return SchedulerHarness()
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -6,7 +6,7 @@
 from magnoliapitch.decision.interface import TaskRequest
 from magnoliapitch.decision.interface import WorkerShape
 from magnoliapitch.resource import Resources
-from tests.decision.conftest import Bench
+from tests.decision.conftest import SchedulerHarness
 from tests.decision.conftest import task
 
 
@@ -26,19 +26,19 @@
         (task(entry="small", cores=2), "raise limits.memory_mb to 2000"),
     ],
 )
-def test_refusal_tells_what_would_help(
-    bench: Bench, request_: TaskRequest, hint: str
+def test_infeasibility_reason_says_what_to_change(
+    harness: SchedulerHarness, request_: TaskRequest, hint: str
 ) -> None:
-    bench.set_entry("small", "clubs", Limits(memory_mb=1_500))
-    assert hint in bench.scheduler.refusal(request_, FLEET)
+    harness.set_entry("small", "clubs", Limits(memory_mb=1_500))
+    assert hint in harness.scheduler.infeasibility_reason(request_, FLEET)
 
 
-def test_refusal_is_looked_at_again_when_the_catalogue_changes(
-    bench: Bench,
+def test_infeasibility_is_checked_again_when_the_catalogue_changes(
+    harness: SchedulerHarness,
 ) -> None:
     wanted = task(entry="small", cores=2)
-    bench.set_entry("small", "clubs", Limits(memory_mb=1_500))
-    assert bench.scheduler.refusal(wanted, FLEET)
-    bench.set_entry("small", "clubs", Limits(memory_mb=2_000))
-    assert bench.scheduler.refusal(wanted, FLEET) == ""
-    assert bench.scheduler.refusal(wanted, ()) == ""
+    harness.set_entry("small", "clubs", Limits(memory_mb=1_500))
+    assert harness.scheduler.infeasibility_reason(wanted, FLEET)
+    harness.set_entry("small", "clubs", Limits(memory_mb=2_000))
+    assert harness.scheduler.infeasibility_reason(wanted, FLEET) == ""
+    assert harness.scheduler.infeasibility_reason(wanted, ()) == ""
--- a/tests/decision/test_starvation.py
+++ b/tests/decision/test_starvation.py
@@ -19,9 +19,9 @@
 from magnoliapitch.bench.decisions.trace import TracedTask
 from magnoliapitch.catalogue.entry import CatalogueEntry
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.decision.starvation import STARVATION_BOUND_MS_BY_CLASS
 from magnoliapitch.decision.first_fit import FirstFitScheduler
 from magnoliapitch.decision.registry import make_scheduler
+from magnoliapitch.decision.starvation import STARVATION_BOUND_MS_BY_CLASS
 from magnoliapitch.policy.options import options_of
 from magnoliapitch.resource import Resources
 
@@ -37,16 +37,16 @@
     )
     for work_class in WorkClass
 }
-NO_BOUND = OfflineBound(0.0, 0.0, frozenset())
+NO_OFFLINE_BOUND = OfflineBound(0.0, 0.0, frozenset())
 ARRIVALS_MS = 1_500_000
 FLOOD_INTERVAL_MS = 3_000
 
 
 @st.composite
-def jobs_of(draw: Callable[..., int], work_class: WorkClass) -> TracedJob:
+def random_jobs(draw: Callable[..., int], work_class: WorkClass) -> TracedJob:
     is_urgent = work_class is WorkClass.URGENT
-    is_first = is_urgent or work_class is WorkClass.SERVICE
-    cores = draw(st.integers(1, 2 if is_first else 8))
+    is_small = is_urgent or work_class is WorkClass.SERVICE
+    cores = draw(st.integers(1, 2 if is_small else 8))
     run_ms = draw(st.integers(1_000, 5_000 if is_urgent else 200_000))
     factor = draw(st.integers(3, 30))
     count = draw(st.integers(1, 4))
@@ -62,7 +62,7 @@
     )
 
 
-def flood() -> tuple[TracedJob, ...]:
+def deadline_flood() -> tuple[TracedJob, ...]:
     task = TracedTask(Resources(4_000, 2_000), 30_000)
     return tuple(
         TracedJob(
@@ -94,34 +94,34 @@
 @given(
     jobs=st.tuples(
         *(
-            st.lists(jobs_of(work_class), min_size=4, max_size=12)
+            st.lists(random_jobs(work_class), min_size=4, max_size=12)
             for work_class in WorkClass
         )
     ),
     profile=st.sampled_from(("waiting-first", "packing-first")),
 )
-def test_no_class_starves_beyond_its_bound(
+def test_no_class_waits_longer_than_its_starvation_bound(
     jobs: tuple[list[TracedJob], ...], profile: str
 ) -> None:
-    some = tuple(job for part in jobs for job in part)
-    trace = trace_of((*flood(), *some))
+    drawn_jobs = tuple(job for part in jobs for job in part)
+    trace = trace_of((*deadline_flood(), *drawn_jobs))
     scheduler = make_scheduler("weighted", options_of(profile))
-    result = measure(trace, profile, scheduler, NO_BOUND)
+    result = measure(trace, profile, scheduler, NO_OFFLINE_BOUND)
     for work_class, bound_ms in STARVATION_BOUND_MS_BY_CLASS.items():
         assert result.waits_by_class[work_class].gap_ms <= bound_ms
 
 
-def test_fifo_starves_a_class_beyond_its_bound() -> None:
-    tap = TracedJob(
-        "tap",
+def test_fifo_exceeds_the_starvation_bound_of_urgent_work() -> None:
+    urgent_job = TracedJob(
+        "urgent",
         ENTRIES[WorkClass.URGENT],
         600_000,
         Resources(1_000, 1_000),
         1_000,
         (TracedTask(Resources(1_000, 1_000), 1_000),),
     )
-    trace = trace_of((*flood(), tap))
-    result = measure(trace, "fifo", FirstFitScheduler({}), NO_BOUND)
+    trace = trace_of((*deadline_flood(), urgent_job))
+    result = measure(trace, "fifo", FirstFitScheduler({}), NO_OFFLINE_BOUND)
     bound_ms = STARVATION_BOUND_MS_BY_CLASS[WorkClass.URGENT]
     assert result.waits_by_class["urgent"].gap_ms > bound_ms
 
@@ -130,7 +130,7 @@
 def test_whole_machine_work_is_not_starved_by_small_work(profile: str) -> None:
     whole = FLEET.workers[0].capacity
     task = TracedTask(whole._replace(accelerators=0), 60_000)
-    service = TracedJob(
+    gang = TracedJob(
         "whole",
         ENTRIES[WorkClass.GANG],
         300_000,
@@ -139,7 +139,7 @@
         (task,) * 2,
         is_gang=True,
     )
-    trace = trace_of((*flood(), service))
+    trace = trace_of((*deadline_flood(), gang))
     scheduler = make_scheduler("weighted", options_of(profile))
     result = measure(trace, profile, scheduler, offline_bound(trace))
     bound_ms = STARVATION_BOUND_MS_BY_CLASS[WorkClass.GANG]
--- a/tests/job/test_backlog.py
+++ b/tests/job/test_backlog.py
@@ -56,7 +56,7 @@
         key = TaskKey("gang", number)
         attempt = self.job.attempts_by_task.get(number, 0)
         task_id = f"gang/{number}/{attempt}"
-        self.scheduler.ended(task_id, outcome, self.now_ms)
+        self.scheduler.record_task_end(task_id, outcome, self.now_ms)
         self.job.attempts_by_task[number] = attempt + 1
         self.job.ended_by_task[number] = outcome
         self.job.finished_tasks += outcome is TaskOutcome.FINISHED
