--- a/src/magnoliapitch/decision/dispatch.py
+++ b/src/magnoliapitch/decision/dispatch.py
@@ -378,8 +378,8 @@
     ) -> None:
         """Evict tasks to make room for one task of a group.
 
-        An interval between evictions for the same group gives the first ones
-        time to take effect.
+        Before it evicts for the next task of the group, it waits so that the
+        first evictions can take effect; the more tasks wait, the shorter.
         """
         if decision_round.now_ms < group.next_reclaim_ms:
             return
--- a/src/magnoliapitch/decision/estimate.py
+++ b/src/magnoliapitch/decision/estimate.py
@@ -30,7 +30,8 @@
 
     :param percentile: percentile of the ratio to use, 0 to 100.
     :ivar ratio_per_mille: this percentile, within the correction bounds.
-    :ivar lowest_per_mille: first percentile; 0 until there are samples.
+    :ivar lowest_per_mille: first percentile; 0 until there are enough
+        samples.
     """
 
     def __init__(self, percentile: float) -> None:
--- a/src/magnoliapitch/decision/finder.py
+++ b/src/magnoliapitch/decision/finder.py
@@ -22,6 +22,7 @@
 NEAR_DEADLINE_MS = 30_000
 MAX_FREED_WORKERS = 24
 FREE_CAPACITY = "free capacity"
+# Work that may be delayed, and evicted to make room for other work.
 BULK_CLASSES = (WorkClass.GANG, WorkClass.BATCH)
 
 
--- a/src/magnoliapitch/decision/interface.py
+++ b/src/magnoliapitch/decision/interface.py
@@ -126,7 +126,8 @@
 class Scheduler(Protocol):
     """A scheduling policy for the workers that one entry instance manages.
 
-    Implementations are not thread-safe.
+    Policies need not be thread-safe: the caller makes all calls from one
+    thread or uses a ``SynchronizedScheduler``.
     """
 
     def set_catalogue(self, by_name: Mapping[str, CatalogueEntry]) -> None:
--- a/src/magnoliapitch/decision/placement.py
+++ b/src/magnoliapitch/decision/placement.py
@@ -242,11 +242,13 @@
         if not self._protects_accelerators(worker, need):
             return protected
         capacity = worker.shape.capacity
-        share = worker.free_accelerators
+        accelerators = worker.free_accelerators
         return protected.plus(
             Resources(
-                share * capacity.cpu_millis // ACCELERATOR_SHARE_DIVISOR,
-                share * capacity.memory_mb // ACCELERATOR_SHARE_DIVISOR,
+                accelerators
+                * capacity.cpu_millis
+                // ACCELERATOR_SHARE_DIVISOR,
+                accelerators * capacity.memory_mb // ACCELERATOR_SHARE_DIVISOR,
             )
         )
 
--- a/src/magnoliapitch/decision/retry.py
+++ b/src/magnoliapitch/decision/retry.py
@@ -58,7 +58,8 @@
     def delay_ms(self, entry: str, task_id: str) -> int:
         """Return the delay of the next attempt, 0 if none has failed.
 
-        This takes one retry from the budget of the entry.
+        This takes one retry from the budget of the entry. If less than one is
+        left there, the budget stays and the delay may be longer.
         """
         failures = self.failures(task_id)
         if not failures:
--- a/src/magnoliapitch/decision/worker_state.py
+++ b/src/magnoliapitch/decision/worker_state.py
@@ -93,7 +93,8 @@
     :ivar free_cpu_millis: CPU that is neither reserved nor withheld.
     :ivar headroom_cpu_millis: CPU that bulk work leaves to urgent work.
     :ivar urgent_cpu_millis: CPU that is reserved for urgent tasks.
-    :ivar earmarked: capacity taken back from bulk work for other tasks.
+    :ivar earmarked: capacity taken back from bulk work for urgent tasks,
+        services or work that is close to starvation.
     :ivar earmarked_until_ms: when bulk work may use that again.
     :ivar reservation: capacity reserved for a future start, if any.
     :ivar accepts_tasks: whether tasks may be placed here; a quarantined
--- a/tests/decision/test_starvation.py
+++ b/tests/decision/test_starvation.py
@@ -48,15 +48,17 @@
     is_small = is_urgent or work_class is WorkClass.SERVICE
     cores = draw(st.integers(1, 2 if is_small else 8))
     run_ms = draw(st.integers(1_000, 5_000 if is_urgent else 200_000))
-    factor = draw(st.integers(3, 30))
+    tenths_of_declared = draw(st.integers(3, 30))
     count = draw(st.integers(1, 4))
     size = Resources(cores * 1_000, cores * 1_500)
     return TracedJob(
         f"{work_class}-{draw(st.integers(0, 10**9))}",
         ENTRIES[work_class],
         draw(st.integers(0, ARRIVALS_MS)) // 50 * 50,
-        Resources(cores * 1_000, min(16_384, cores * 15_000 // factor)),
-        max(1, run_ms * 10 // factor),
+        Resources(
+            cores * 1_000, min(16_384, cores * 15_000 // tenths_of_declared)
+        ),
+        max(1, run_ms * 10 // tenths_of_declared),
         tuple(TracedTask(size, run_ms) for _ in range(count)),
         is_gang=work_class is WorkClass.GANG,
     )
