--- a/src/magnoliapitch/api/admin.py
+++ b/src/magnoliapitch/api/admin.py
@@ -10,8 +10,8 @@
 from magnoliapitch.http import HttpRequest
 from magnoliapitch.http import HttpResponse
 from magnoliapitch.http import json_response
-from magnoliapitch.metric.text import CONTENT_TYPE
-from magnoliapitch.metric.text import exposition
+from magnoliapitch.metric.prometheus import CONTENT_TYPE
+from magnoliapitch.metric.prometheus import exposition
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -24,7 +24,7 @@
 from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
-from magnoliapitch.plain import to_plain
+from magnoliapitch.json_value import to_plain
 from magnoliapitch.worker.lease import WorkerView
 
 
--- a/src/magnoliapitch/capacity/measurement.py
+++ b/src/magnoliapitch/capacity/measurement.py
@@ -12,7 +12,7 @@
 
 from magnoliapitch.bench.slope import Slope
 from magnoliapitch.capacity.exceptions import MeasurementError
-from magnoliapitch.plain import to_plain
+from magnoliapitch.json_value import to_plain
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/event/__init__.py
+++ b/src/magnoliapitch/event/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from magnoliapitch.event import known as _known  # noqa: F401
-from magnoliapitch.event import known_jobs as _known_jobs  # noqa: F401
+from magnoliapitch.event import definitions as _definitions  # noqa: F401
+from magnoliapitch.event import job_definitions as _job_definitions  # noqa: F401
 from magnoliapitch.event.line import format_line
 from magnoliapitch.event.log import configure_logging
 from magnoliapitch.event.log import log_event
--- a/src/magnoliapitch/event/writer.py
+++ b/src/magnoliapitch/event/writer.py
@@ -9,7 +9,7 @@
 
 from magnoliapitch.event.line import format_line
 from magnoliapitch.event.log import log_event
-from magnoliapitch.event.volume import VolumeLimit
+from magnoliapitch.event.rate_limit import VolumeLimit
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/http/listener.py
+++ b/src/magnoliapitch/http/listener.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from magnoliapitch.event import log_event
-from magnoliapitch.http.bound import BusyBound
+from magnoliapitch.http.concurrency import BusyBound
 from magnoliapitch.http.limits import HttpLimits
 from magnoliapitch.http.server import BoundedServer
 from magnoliapitch.supervisor.exceptions import StartError
--- a/src/magnoliapitch/http/server.py
+++ b/src/magnoliapitch/http/server.py
@@ -25,7 +25,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.http.bound import BusyBound
+    from magnoliapitch.http.concurrency import BusyBound
     from magnoliapitch.http.limits import HttpLimits
     from magnoliapitch.verdict import Failure
 
--- a/src/magnoliapitch/journal/codec.py
+++ b/src/magnoliapitch/journal/codec.py
@@ -21,7 +21,7 @@
 from magnoliapitch.journal.record import UnknownEntry
 from magnoliapitch.journal.record import adapters_by_kind
 from magnoliapitch.journal.record import kinds_by_type
-from magnoliapitch.plain import to_plain
+from magnoliapitch.json_value import to_plain
 
 
 RECORD_VERSION = 1
--- a/src/magnoliapitch/metric/__init__.py
+++ b/src/magnoliapitch/metric/__init__.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from magnoliapitch.metric.cost import CostMeter
-from magnoliapitch.metric.cost import ProcessCost
+from magnoliapitch.metric.process_usage import CostMeter
+from magnoliapitch.metric.process_usage import ProcessCost
 from magnoliapitch.metric.metrics import Metrics
-from magnoliapitch.metric.text import exposition
+from magnoliapitch.metric.prometheus import exposition
 from magnoliapitch.metric.timer import Timer
 from magnoliapitch.metric.timer import TimerSummary
 
--- a/src/magnoliapitch/metric/text.py
+++ b/src/magnoliapitch/metric/prometheus.py
@@ -6,7 +6,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.metric.cost import ProcessCost
+    from magnoliapitch.metric.process_usage import ProcessCost
     from magnoliapitch.metric.metrics import Metrics
 
 
--- a/src/magnoliapitch/standin/server.py
+++ b/src/magnoliapitch/standin/server.py
@@ -22,7 +22,7 @@
 from magnoliapitch.http import problem_response
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.membership.instance import InstanceRole
-from magnoliapitch.plain import to_plain
+from magnoliapitch.json_value import to_plain
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
 from magnoliapitch.worker.lease import LeaseGrant
--- a/src/magnoliapitch/worker/http_pool.py
+++ b/src/magnoliapitch/worker/http_pool.py
@@ -11,7 +11,7 @@
 from pydantic import TypeAdapter
 
 from magnoliapitch.http.client import JsonClient
-from magnoliapitch.plain import to_plain
+from magnoliapitch.json_value import to_plain
 from magnoliapitch.worker.lease import LeaseGrant
 from magnoliapitch.worker.lease import WorkerView
 
--- a/tests/event/test_volume.py
+++ b/tests/event/test_rate_limit.py
@@ -8,7 +8,7 @@
 import pytest
 
 from magnoliapitch.event import configure_logging
-from magnoliapitch.event.volume import VolumeLimit
+from magnoliapitch.event.rate_limit import VolumeLimit
 
 
 if TYPE_CHECKING:
--- a/tests/event/test_writer.py
+++ b/tests/event/test_writer.py
@@ -11,7 +11,7 @@
 
 from magnoliapitch.event import configure_logging
 from magnoliapitch.event import log_event
-from magnoliapitch.event.volume import VolumeLimit
+from magnoliapitch.event.rate_limit import VolumeLimit
 from magnoliapitch.event.writer import LineWriter
 
 
