--- a/src/magnoliapitch/api/admin.py
+++ b/src/magnoliapitch/api/admin.py
@@ -11,12 +11,12 @@
 from magnoliapitch.http import HttpResponse
 from magnoliapitch.http import json_response
 from magnoliapitch.metric.prometheus import CONTENT_TYPE
-from magnoliapitch.metric.prometheus import exposition
+from magnoliapitch.metric.prometheus import prometheus_text
 
 
 if TYPE_CHECKING:
     from magnoliapitch.entry.core import EntryCore
-    from magnoliapitch.metric import CostMeter
+    from magnoliapitch.metric import ProcessUsageMeter
     from magnoliapitch.supervisor import Supervisor
 
 
@@ -28,7 +28,7 @@
         """Return what the instance decides with."""
 
     @property
-    def cost(self) -> CostMeter:
+    def cost(self) -> ProcessUsageMeter:
         """Return the meter of the process."""
 
     @property
@@ -58,7 +58,7 @@
 
     @application.route("GET", "/v1/metrics")
     def metrics(request: HttpRequest) -> HttpResponse:  # noqa: ARG001
-        text = exposition(node.core.metrics, node.cost.read())
+        text = prometheus_text(node.core.metrics, node.cost.read())
         return HttpResponse(200, text.encode(), CONTENT_TYPE)
 
     @application.route("POST", "/v1/drain")
--- a/src/magnoliapitch/backend/__init__.py
+++ b/src/magnoliapitch/backend/__init__.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from magnoliapitch.backend.client import BackendAnswer
+from magnoliapitch.backend.client import BackendResponse
 from magnoliapitch.backend.client import BackendClient
 from magnoliapitch.backend.client import BackendRequest
 
 
-__all__ = ["BackendAnswer", "BackendClient", "BackendRequest"]
+__all__ = ["BackendResponse", "BackendClient", "BackendRequest"]
--- a/src/magnoliapitch/backend/client.py
+++ b/src/magnoliapitch/backend/client.py
@@ -29,7 +29,7 @@
     timeout_ms: int
 
 
-class BackendAnswer(NamedTuple):
+class BackendResponse(NamedTuple):
     """A complete answer of a backend server.
 
     :param status: HTTP status.
@@ -49,7 +49,7 @@
 
     def send(
         self, server: InstanceInfo, request: BackendRequest
-    ) -> Result[BackendAnswer, Failure]:
+    ) -> Result[BackendResponse, Failure]:
         """Send one request once and return its complete answer.
 
         :return: ``not_run`` only if no byte of the request can have
--- a/src/magnoliapitch/backend/http_client.py
+++ b/src/magnoliapitch/backend/http_client.py
@@ -20,7 +20,7 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.backend.client import BackendAnswer
+from magnoliapitch.backend.client import BackendResponse
 from magnoliapitch.backend.client import BackendRequest
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
@@ -35,11 +35,11 @@
 REFUSED_STATUS = 503
 FIRST_STATUS = 200
 LAST_STATUS = 599
-REFUSED_HEADER = "X-Not-Run"
+NOT_RUN_HEADER = "X-Not-Run"
 LEAVING_HEADER = "X-Leaving"
 REQUEST_ID_HEADER = "X-Request-Id"
 CONNECT_TIMEOUT_MS = 1_000
-ANSWER_MAX_BYTES = 8 << 20
+MAX_RESPONSE_BYTES = 8 << 20
 READ_BYTES = 1 << 16
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
@@ -79,21 +79,21 @@
 
     :param connections_per_server: connections kept open to a server; the
         slots bound how many are open at once.
-    :param answer_max_bytes: longest answer that is accepted.
+    :param max_response_bytes: longest answer that is accepted.
     """
 
     def __init__(
         self,
         connections_per_server: int = 8,
-        answer_max_bytes: int = ANSWER_MAX_BYTES,
+        max_response_bytes: int = MAX_RESPONSE_BYTES,
     ) -> None:
         self._connections_per_server = connections_per_server
-        self._answer_max_bytes = answer_max_bytes
+        self._answer_max_bytes = max_response_bytes
         self._pools_by_server: dict[str, _ServerPool] = {}
 
     def send(
         self, server: InstanceInfo, request: BackendRequest
-    ) -> Result[BackendAnswer, Failure]:
+    ) -> Result[BackendResponse, Failure]:
         """Send one request once and return its complete answer."""
         deadline_s = time.monotonic() + request.timeout_ms / 1000
         try:
@@ -168,7 +168,7 @@
 
     def _read(
         self, response: urllib3.BaseHTTPResponse, deadline_s: float
-    ) -> Result[BackendAnswer, Failure]:
+    ) -> Result[BackendResponse, Failure]:
         parts: list[bytes] = []
         left = self._answer_max_bytes
         try:
@@ -191,7 +191,7 @@
             return Err(may_have_run(FailureCode.TRUNCATED, str(error)))
         headers = response.headers
         return Ok(
-            BackendAnswer(
+            BackendResponse(
                 response.status,
                 b"".join(parts),
                 LEAVING_HEADER in headers,
@@ -210,7 +210,7 @@
 def _is_refusal(response: urllib3.BaseHTTPResponse) -> bool:
     return (
         response.status == REFUSED_STATUS
-        and REFUSED_HEADER in response.headers
+        and NOT_RUN_HEADER in response.headers
     )
 
 
--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -24,7 +24,7 @@
 from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
-from magnoliapitch.json_value import to_plain
+from magnoliapitch.json_value import to_json_value
 from magnoliapitch.worker.lease import WorkerView
 
 
@@ -118,7 +118,7 @@
 def listed_instances(size: int) -> Callable[[], object]:
     """Decode the platform's list of workers."""
     workers = tuple(sample.worker_info(number) for number in range(size))
-    encoded = orjson.dumps(to_plain(workers))
+    encoded = orjson.dumps(to_json_value(workers))
     return lambda: _INSTANCES.validate_json(encoded)
 
 
--- a/src/magnoliapitch/capacity/measurement.py
+++ b/src/magnoliapitch/capacity/measurement.py
@@ -12,7 +12,7 @@
 
 from magnoliapitch.bench.slope import Slope
 from magnoliapitch.capacity.exceptions import MeasurementError
-from magnoliapitch.json_value import to_plain
+from magnoliapitch.json_value import to_json_value
 
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
     def to_file(self, path: Path) -> None:
         """Write the measurement."""
         options = orjson.OPT_INDENT_2
-        path.write_bytes(orjson.dumps(to_plain(self), option=options) + b"\n")
+        path.write_bytes(orjson.dumps(to_json_value(self), option=options) + b"\n")
 
     def slope(self, name: str) -> Slope:
         """Return a slope by its name.
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -34,9 +34,9 @@
 from magnoliapitch.ledger.records import JOB_STREAM
 from magnoliapitch.ledger.state_table import StateTable
 from magnoliapitch.ledger.submitter import Submitter
-from magnoliapitch.metric import CostMeter
+from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.metric import Metrics
-from magnoliapitch.metric import exposition
+from magnoliapitch.metric import prometheus_text
 from magnoliapitch.platform import PlatformAdvisor
 from magnoliapitch.platform import PlatformDirectory
 from magnoliapitch.platform import PlatformStore
@@ -85,7 +85,7 @@
         self._is_draining = False
         self._health = StoreHealth(self._clock)
         self._metrics = Metrics()
-        self._cost = CostMeter()
+        self._cost = ProcessUsageMeter()
         client = HttpClient(32, self._observe_call)
         store = PlatformStore(settings.endpoints.store, client)
         self._directory = PlatformDirectory(store)
@@ -265,7 +265,7 @@
 
     def _exposition(self, request: HttpRequest) -> HttpResponse:
         del request
-        text = exposition(self._metrics, self._cost.read())
+        text = prometheus_text(self._metrics, self._cost.read())
         return HttpResponse(200, text.encode(), "text/plain")
 
 
--- a/src/magnoliapitch/entry/node.py
+++ b/src/magnoliapitch/entry/node.py
@@ -16,7 +16,7 @@
 from magnoliapitch.entry.tree import make_tree
 from magnoliapitch.event import log_event
 from magnoliapitch.http import Listener
-from magnoliapitch.metric import CostMeter
+from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.peer.node import PeerNode
 from magnoliapitch.supervisor import RestartPolicy
 from magnoliapitch.worker.runner import PooledRunner
@@ -50,7 +50,7 @@
     ) -> None:
         self.settings = settings
         self.clock = clock or MonotonicClock()
-        self.cost = CostMeter()
+        self.cost = ProcessUsageMeter()
         address = settings.address
         self.peer_node = PeerNode((address, settings.listeners.peer_port))
         self.worker_calls = PooledRunner()
--- a/src/magnoliapitch/event/rate_limit.py
+++ b/src/magnoliapitch/event/rate_limit.py
@@ -20,7 +20,7 @@
 KIND_MAX_LINES_PER_S = 250
 
 
-class VolumeLimit:
+class LineRateLimit:
     """Admits the first lines of each kind in each second.
 
     Warnings, errors and lines that give a reason are always admitted.
--- a/src/magnoliapitch/event/writer.py
+++ b/src/magnoliapitch/event/writer.py
@@ -9,7 +9,7 @@
 
 from magnoliapitch.event.line import format_line
 from magnoliapitch.event.log import log_event
-from magnoliapitch.event.rate_limit import VolumeLimit
+from magnoliapitch.event.rate_limit import LineRateLimit
 
 
 if TYPE_CHECKING:
@@ -39,10 +39,10 @@
         self,
         stream: TextIO,
         max_lines: int = QUEUE_MAX_LINES,
-        limit: VolumeLimit | None = None,
+        limit: LineRateLimit | None = None,
     ) -> None:
         self.lost = 0
-        self._limit = limit or VolumeLimit()
+        self._limit = limit or LineRateLimit()
         self._stream = stream
         self._queue: queue.Queue[Fields] = queue.Queue(max_lines)
         self._lock = threading.Lock()
--- a/src/magnoliapitch/http/client.py
+++ b/src/magnoliapitch/http/client.py
@@ -124,24 +124,24 @@
         method: str,
         path: str,
         value: object = None,
-        extra_wait_ms: int = 0,
+        server_wait_ms: int = 0,
     ) -> Result[Any, Failure]:
         """Send a request and decode the JSON answer.
 
-        :param extra_wait_ms: time that the server itself may wait.
+        :param server_wait_ms: time that the server itself may wait.
         """
         body = None if value is None else orjson.dumps(value)
         reply = self._client.exchange(
             method,
             self._base_url + path,
-            self._timeout_ms + extra_wait_ms,
+            self._timeout_ms + server_wait_ms,
             body,
             JSON_HEADERS,
         )
         return reply.and_then(lambda got: _decode(got.status, got.data))
 
 
-def decode_answer(
+def validate_response(
     adapter: TypeAdapter[ValueT], value: object
 ) -> Result[ValueT, Failure]:
     """Validate an answer; a malformed one may follow an effect."""
--- a/src/magnoliapitch/http/concurrency.py
+++ b/src/magnoliapitch/http/concurrency.py
@@ -22,7 +22,7 @@
 RETRY_MS = 500
 
 
-class BusyBound:
+class ConcurrencyLimit:
     """A WSGI application that handles a bounded number of requests."""
 
     def __init__(self, application: Application, busy_max: int) -> None:
--- a/src/magnoliapitch/http/listener.py
+++ b/src/magnoliapitch/http/listener.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from magnoliapitch.event import log_event
-from magnoliapitch.http.concurrency import BusyBound
+from magnoliapitch.http.concurrency import ConcurrencyLimit
 from magnoliapitch.http.limits import HttpLimits
 from magnoliapitch.http.server import BoundedServer
 from magnoliapitch.supervisor.exceptions import StartError
@@ -91,7 +91,7 @@
     def _make_server(self) -> Any:
         server: Any = BoundedServer(
             self._address,
-            BusyBound(self.application, self._threads),
+            ConcurrencyLimit(self.application, self._threads),
             self._threads + self._limits.reserve_threads,
             self._limits,
             self._stop_timeout_s,
--- a/src/magnoliapitch/http/server.py
+++ b/src/magnoliapitch/http/server.py
@@ -25,7 +25,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.http.concurrency import BusyBound
+    from magnoliapitch.http.concurrency import ConcurrencyLimit
     from magnoliapitch.http.limits import HttpLimits
     from magnoliapitch.verdict import Failure
 
@@ -180,7 +180,7 @@
     def __init__(
         self,
         address: tuple[str, int],
-        application: BusyBound,
+        application: ConcurrencyLimit,
         threads: int,
         limits: HttpLimits,
         stop_timeout_s: int,
--- a/src/magnoliapitch/journal/codec.py
+++ b/src/magnoliapitch/journal/codec.py
@@ -21,7 +21,7 @@
 from magnoliapitch.journal.record import UnknownEntry
 from magnoliapitch.journal.record import adapters_by_kind
 from magnoliapitch.journal.record import kinds_by_type
-from magnoliapitch.json_value import to_plain
+from magnoliapitch.json_value import to_json_value
 
 
 RECORD_VERSION = 1
@@ -30,7 +30,7 @@
 def encode_entry(entry: RecordEntry) -> bytes:
     """Encode one entry as it stands in a record."""
     kind = kinds_by_type[type(entry)]
-    return orjson.dumps({"kind": kind, **to_plain(entry)})
+    return orjson.dumps({"kind": kind, **to_json_value(entry)})
 
 
 def encode_batch(
--- a/src/magnoliapitch/journal/http_log.py
+++ b/src/magnoliapitch/journal/http_log.py
@@ -16,7 +16,7 @@
 
 from magnoliapitch.adapter.registry import log_adapter
 from magnoliapitch.http.client import JsonClient
-from magnoliapitch.http.client import decode_answer
+from magnoliapitch.http.client import validate_response
 from magnoliapitch.journal.log import LogRecord
 from magnoliapitch.journal.log import LogSlice
 
@@ -68,7 +68,7 @@
         """Append one record and return its offset."""
         answer = self._client.call("POST", "/append", {"data": data.decode()})
         appended = answer.and_then(
-            lambda value: decode_answer(_APPENDED, value)
+            lambda value: validate_response(_APPENDED, value)
         )
         return appended.map(lambda found: found["offset"])
 
@@ -79,13 +79,13 @@
         answer = self._client.call(
             "GET",
             f"/read?from={from_offset}&limit={limit}&wait_ms={wait_ms}",
-            extra_wait_ms=wait_ms,
+            server_wait_ms=wait_ms,
         )
         return answer.and_then(_slice_from)
 
 
 def _slice_from(value: object) -> Result[LogSlice, Failure]:
-    answer = decode_answer(_READ, value)
+    answer = validate_response(_READ, value)
     return answer.map(
         lambda read: LogSlice(
             tuple(
--- a/src/magnoliapitch/membership/http_instance_list.py
+++ b/src/magnoliapitch/membership/http_instance_list.py
@@ -13,7 +13,7 @@
 
 from magnoliapitch.adapter.registry import instance_list_adapter
 from magnoliapitch.http.client import JsonClient
-from magnoliapitch.http.client import decode_answer
+from magnoliapitch.http.client import validate_response
 from magnoliapitch.membership.instance import InstanceInfo
 
 
@@ -41,7 +41,7 @@
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
         """Return every listed instance."""
         answer = self._client.call("GET", "/instances")
-        listed = answer.and_then(lambda value: decode_answer(_ADAPTER, value))
+        listed = answer.and_then(lambda value: validate_response(_ADAPTER, value))
         return listed.map(lambda found: found["instances"])
 
 
--- a/src/magnoliapitch/metric/__init__.py
+++ b/src/magnoliapitch/metric/__init__.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from magnoliapitch.metric.process_usage import CostMeter
-from magnoliapitch.metric.process_usage import ProcessCost
+from magnoliapitch.metric.process_usage import ProcessUsageMeter
+from magnoliapitch.metric.process_usage import ProcessUsage
 from magnoliapitch.metric.metrics import Metrics
-from magnoliapitch.metric.prometheus import exposition
+from magnoliapitch.metric.prometheus import prometheus_text
 from magnoliapitch.metric.timer import Timer
 from magnoliapitch.metric.timer import TimerSummary
 
 
 __all__ = [
-    "CostMeter",
+    "ProcessUsageMeter",
     "Metrics",
-    "ProcessCost",
+    "ProcessUsage",
     "Timer",
     "TimerSummary",
-    "exposition",
+    "prometheus_text",
 ]
--- a/src/magnoliapitch/metric/process_usage.py
+++ b/src/magnoliapitch/metric/process_usage.py
@@ -19,7 +19,7 @@
 DESCRIPTORS = Path("/proc/self/fd")
 
 
-class ProcessCost(NamedTuple):
+class ProcessUsage(NamedTuple):
     """Use of the machine by this process.
 
     :param cpu_s: processor seconds since the start.
@@ -40,7 +40,7 @@
     sent_bytes: int
 
 
-class CostMeter:
+class ProcessUsageMeter:
     """Reads the counters of this process.
 
     Bytes of a connection are known up to the last reading before it was
@@ -54,11 +54,11 @@
         self._bytes_by_inode: dict[int, ConnectionBytes] = {}
         self._closed = ConnectionBytes(0, 0)
 
-    def read(self) -> ProcessCost:
+    def read(self) -> ProcessUsage:
         """Return the cost up to now."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         total = self._read_bytes()
-        return ProcessCost(
+        return ProcessUsage(
             usage.ru_utime + usage.ru_stime,
             time.monotonic() - self._started_s,
             int(STATM.read_text("ascii").split()[1]) * PAGE_BYTES,
--- a/src/magnoliapitch/metric/prometheus.py
+++ b/src/magnoliapitch/metric/prometheus.py
@@ -6,7 +6,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.metric.process_usage import ProcessCost
+    from magnoliapitch.metric.process_usage import ProcessUsage
     from magnoliapitch.metric.metrics import Metrics
 
 
@@ -14,7 +14,7 @@
 PREFIX = "magnoliapitch"
 
 
-def exposition(metrics: Metrics, cost: ProcessCost) -> str:
+def prometheus_text(metrics: Metrics, cost: ProcessUsage) -> str:
     """Return every metric as lines of ``name{label="..."} value``."""
     lines = [
         f"{PREFIX}_{name}_total{_labels(label)} {count}"
--- a/src/magnoliapitch/request/dispatcher.py
+++ b/src/magnoliapitch/request/dispatcher.py
@@ -23,7 +23,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.backend.client import BackendAnswer
+    from magnoliapitch.backend.client import BackendResponse
     from magnoliapitch.backend.client import BackendClient
     from magnoliapitch.clock import Clock
     from magnoliapitch.membership.instance import InstanceInfo
@@ -174,7 +174,7 @@
 
     def _call(
         self, server: InstanceInfo, request: BackendRequest
-    ) -> Result[BackendAnswer, Failure]:
+    ) -> Result[BackendResponse, Failure]:
         try:
             return self._backends.send(server, request)
         except Exception as error:
--- a/src/magnoliapitch/request/slot_pool.py
+++ b/src/magnoliapitch/request/slot_pool.py
@@ -24,7 +24,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.backend.client import BackendAnswer
+    from magnoliapitch.backend.client import BackendResponse
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.membership.fleet import Fleet
@@ -108,7 +108,7 @@
     def release(
         self,
         server: InstanceInfo,
-        outcome: Result[BackendAnswer, Failure] | None,
+        outcome: Result[BackendResponse, Failure] | None,
         started_ms: int,
         timeout_ms: int,
     ) -> None:
@@ -258,7 +258,7 @@
         self,
         state: ServerState,
         server: InstanceInfo,
-        answer: BackendAnswer,
+        answer: BackendResponse,
         duration_ms: int,
     ) -> None:
         state.succeed()
--- a/src/magnoliapitch/standin/backend.py
+++ b/src/magnoliapitch/standin/backend.py
@@ -15,7 +15,7 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.backend.client import BackendAnswer
+from magnoliapitch.backend.client import BackendResponse
 from magnoliapitch.backend.client import BackendRequest
 from magnoliapitch.clock import MonotonicClock
 from magnoliapitch.verdict import Failure
@@ -84,7 +84,7 @@
 
     def send(
         self, server: InstanceInfo, request: BackendRequest
-    ) -> Result[BackendAnswer, Failure]:
+    ) -> Result[BackendResponse, Failure]:
         """Execute one request."""
         server_id = server.instance_id
         if self.on_send is not None:
@@ -122,7 +122,7 @@
         server_id: str,
         request: BackendRequest,
         fault: BackendFault | None,
-    ) -> Result[BackendAnswer, Failure]:
+    ) -> Result[BackendResponse, Failure]:
         if fault is BackendFault.LOSE_ANSWER:
             self._clock.wait(self._never, request.timeout_ms)
             return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
@@ -130,7 +130,7 @@
             return Err(may_have_run(FailureCode.TRUNCATED, "half an answer"))
         is_leaving = fault is BackendFault.ANNOUNCE_LEAVING
         body = _answer_body(server_id, request)
-        return Ok(BackendAnswer(200, body, is_leaving))
+        return Ok(BackendResponse(200, body, is_leaving))
 
     def _enter(self, server_id: str, request: BackendRequest) -> None:
         with self._lock:
--- a/src/magnoliapitch/standin/demo.py
+++ b/src/magnoliapitch/standin/demo.py
@@ -11,7 +11,7 @@
 
 from magnoliapitch.catalogue.entry import WorkClass
 from magnoliapitch.job.spec import parse_lease_id
-from magnoliapitch.metric import CostMeter
+from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.metric import Timer
 from magnoliapitch.resource import Resources
 from magnoliapitch.settings import TimingSettings
@@ -79,7 +79,7 @@
     def _run(self) -> DemoResult:
         if not wait_until(lambda: all(map(self._serves, self._nodes))):
             self._problems.append("the entries did not become ready")
-        meter = CostMeter()
+        meter = ProcessUsageMeter()
         before = meter.read()
         self._work()
         after = meter.read()
--- a/src/magnoliapitch/standin/report.py
+++ b/src/magnoliapitch/standin/report.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from magnoliapitch.metric import ProcessCost
+from magnoliapitch.metric import ProcessUsage
 from magnoliapitch.metric import TimerSummary
 
 
@@ -31,8 +31,8 @@
     peak_used: float
     lost: tuple[str, ...]
     entries: int
-    cost_before: ProcessCost
-    cost_after: ProcessCost
+    cost_before: ProcessUsage
+    cost_after: ProcessUsage
     problems: tuple[str, ...]
 
 
--- a/src/magnoliapitch/standin/server.py
+++ b/src/magnoliapitch/standin/server.py
@@ -11,7 +11,7 @@
 
 from magnoliapitch.backend.client import BackendRequest
 from magnoliapitch.backend.http_client import LEAVING_HEADER
-from magnoliapitch.backend.http_client import REFUSED_HEADER
+from magnoliapitch.backend.http_client import NOT_RUN_HEADER
 from magnoliapitch.backend.http_client import REQUEST_ID_HEADER
 from magnoliapitch.http import Application
 from magnoliapitch.http import HttpLimits
@@ -22,7 +22,7 @@
 from magnoliapitch.http import problem_response
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.membership.instance import InstanceRole
-from magnoliapitch.json_value import to_plain
+from magnoliapitch.json_value import to_json_value
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
 from magnoliapitch.worker.lease import LeaseGrant
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from magnoliapitch.backend.client import BackendAnswer
+    from magnoliapitch.backend.client import BackendResponse
     from magnoliapitch.standin.backend import StandinBackends
     from magnoliapitch.standin.instance import StandinInstanceList
     from magnoliapitch.standin.log import StandinLog
@@ -80,7 +80,7 @@
     def instances(request: HttpRequest) -> HttpResponse:  # noqa: ARG001
         return _respond(
             instance_list.instances(),
-            lambda found: {"instances": to_plain(found)},
+            lambda found: {"instances": to_json_value(found)},
         )
 
     return application
@@ -94,7 +94,7 @@
     """Serve workers below ``/workers/ID``."""
 
     def respond(outcome: Result[WorkerView, Failure]) -> HttpResponse:
-        return _respond(outcome, to_plain)
+        return _respond(outcome, to_json_value)
 
     @application.route("POST", "/workers/{worker}/view")
     def view(request: HttpRequest) -> HttpResponse:
@@ -159,14 +159,14 @@
 
 
 def _backend_response(
-    request_id: str, outcome: Result[BackendAnswer, Failure]
+    request_id: str, outcome: Result[BackendResponse, Failure]
 ) -> HttpResponse:
     if isinstance(outcome, Err):
         failure = outcome.err_value
         if failure.verdict is not Verdict.NOT_RUN:
             other = ((REQUEST_ID_HEADER, "other"),)
             return HttpResponse(200, b"{}", headers=other)
-        headers: tuple[tuple[str, str], ...] = ((REFUSED_HEADER, "1"),)
+        headers: tuple[tuple[str, str], ...] = ((NOT_RUN_HEADER, "1"),)
         if failure.code is FailureCode.SHUTTING_DOWN:
             headers += ((LEAVING_HEADER, "1"),)
         return HttpResponse(503, headers=headers)
--- a/src/magnoliapitch/supervisor/child.py
+++ b/src/magnoliapitch/supervisor/child.py
@@ -27,7 +27,7 @@
 
 
 @runtime_checkable
-class Beating(Protocol):
+class HasHeartbeat(Protocol):
     """A child that shows its progress."""
 
     def heartbeat_age_ms(self) -> int:
@@ -35,7 +35,7 @@
 
 
 @runtime_checkable
-class Dumping(Protocol):
+class HasStateDump(Protocol):
     """A child with state of its own to show."""
 
     def dump(self) -> dict[str, object]:
--- a/src/magnoliapitch/supervisor/supervisor.py
+++ b/src/magnoliapitch/supervisor/supervisor.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.event import log_event
-from magnoliapitch.supervisor.child import Beating
-from magnoliapitch.supervisor.child import Dumping
+from magnoliapitch.supervisor.child import HasHeartbeat
+from magnoliapitch.supervisor.child import HasStateDump
 from magnoliapitch.supervisor.restart import RestartPolicy
 from magnoliapitch.supervisor.restart import RestartRecord
 
@@ -116,7 +116,7 @@
             self.check()
 
     def _check_heartbeat(self, child: Child, record: RestartRecord) -> None:
-        if not isinstance(child, Beating):
+        if not isinstance(child, HasHeartbeat):
             return
         age_ms = child.heartbeat_age_ms()
         is_hung = age_ms > self._policy.hung_after_ms
@@ -160,10 +160,10 @@
             "alive": child.is_alive(),
             "restarts": record.total,
         }
-        if isinstance(child, Beating):
+        if isinstance(child, HasHeartbeat):
             dump["heartbeat_age_ms"] = child.heartbeat_age_ms()
             dump["hung"] = record.is_hung
-        if isinstance(child, Dumping):
+        if isinstance(child, HasStateDump):
             dump["children"] = child.dump()
         return dump
 
--- a/src/magnoliapitch/worker/http_pool.py
+++ b/src/magnoliapitch/worker/http_pool.py
@@ -11,7 +11,7 @@
 from pydantic import TypeAdapter
 
 from magnoliapitch.http.client import JsonClient
-from magnoliapitch.json_value import to_plain
+from magnoliapitch.json_value import to_json_value
 from magnoliapitch.worker.lease import LeaseGrant
 from magnoliapitch.worker.lease import WorkerView
 
@@ -42,7 +42,7 @@
         self, worker: InstanceInfo, grants: tuple[LeaseGrant, ...]
     ) -> Result[WorkerView, Failure]:
         """Start tasks; each id at most once."""
-        return self._call(worker, "start", {"grants": to_plain(grants)})
+        return self._call(worker, "start", {"grants": to_json_value(grants)})
 
     def renew(
         self,
--- a/tests/backend/test_http_client.py
+++ b/tests/backend/test_http_client.py
@@ -20,7 +20,7 @@
 
     from result import Result
 
-    from magnoliapitch.backend.client import BackendAnswer
+    from magnoliapitch.backend.client import BackendResponse
     from magnoliapitch.verdict import Failure
     from tests.backend.conftest import RawServer
 
@@ -38,7 +38,7 @@
     server: RawServer,
     request_id: str = "r1",
     timeout_ms: int = TIMEOUT_MS,
-) -> Result[BackendAnswer, Failure]:
+) -> Result[BackendResponse, Failure]:
     return client.send(
         server.info, BackendRequest(request_id, "seat", b"x", timeout_ms)
     )
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def client() -> HttpBackendClient:
-    return HttpBackendClient(answer_max_bytes=LIMIT_BYTES)
+    return HttpBackendClient(max_response_bytes=LIMIT_BYTES)
 
 
 def test_client_reuses_a_connection_after_a_complete_answer(
--- a/tests/event/test_rate_limit.py
+++ b/tests/event/test_rate_limit.py
@@ -8,7 +8,7 @@
 import pytest
 
 from magnoliapitch.event import configure_logging
-from magnoliapitch.event.rate_limit import VolumeLimit
+from magnoliapitch.event.rate_limit import LineRateLimit
 
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.now_s = 0
         self.lines: list[Mapping[str, Any]] = []
-        self._limit = VolumeLimit(lambda: self.now_s, MAX_LINES)
+        self._limit = LineRateLimit(lambda: self.now_s, MAX_LINES)
 
     def take(self, event: str, level: str = "info", **fields: object) -> None:
         line = {"event": event, "level": level, **fields}
--- a/tests/event/test_writer.py
+++ b/tests/event/test_writer.py
@@ -11,7 +11,7 @@
 
 from magnoliapitch.event import configure_logging
 from magnoliapitch.event import log_event
-from magnoliapitch.event.rate_limit import VolumeLimit
+from magnoliapitch.event.rate_limit import LineRateLimit
 from magnoliapitch.event.writer import LineWriter
 
 
@@ -75,7 +75,7 @@
 
 
 def start(pipe: Pipe) -> LineWriter:
-    limit = VolumeLimit(max_lines=2 * MANY_LINES)
+    limit = LineRateLimit(max_lines=2 * MANY_LINES)
     writer = LineWriter(pipe.writer, QUEUE_LINES, limit)
     configure_logging("entry-1", "az", write=writer.write)
     return writer
--- a/tests/metric/test_metrics.py
+++ b/tests/metric/test_metrics.py
@@ -2,9 +2,9 @@
 
 import socket
 
-from magnoliapitch.metric import CostMeter
+from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.metric import Metrics
-from magnoliapitch.metric import exposition
+from magnoliapitch.metric import prometheus_text
 
 
 PAYLOAD = b"x" * 50_000
@@ -25,7 +25,7 @@
     metrics = Metrics()
     metrics.count("requests", 'a"b\n', 3)
     metrics.observe("wait", 2.0)
-    lines = exposition(metrics, CostMeter().read()).splitlines()
+    lines = prometheus_text(metrics, ProcessUsageMeter().read()).splitlines()
     assert 'magnoliapitch_requests_total{label="a\\"b\\n"} 3' in lines
     assert "magnoliapitch_wait_ms_count 1" in lines
     names = {line.split("{")[0].split(" ")[0] for line in lines}
@@ -33,7 +33,7 @@
 
 
 def test_cost_counts_bytes_of_connections_also_after_their_end() -> None:
-    meter = CostMeter()
+    meter = ProcessUsageMeter()
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         before = meter.read()
