--- a/src/magnoliapitch/http/__init__.py
+++ b/src/magnoliapitch/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing shared by every listener and client."""
+"""HTTP server and client code shared by every listener and caller."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/http/application.py
+++ b/src/magnoliapitch/http/application.py
@@ -1,4 +1,4 @@
-"""A WSGI application made of registered routes."""
+"""WSGI application that dispatches requests to registered routes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from magnoliapitch.event import log_event
 from magnoliapitch.event import request_context
-from magnoliapitch.http.body import CLOSE
+from magnoliapitch.http.body import CONNECTION_CLOSE
 from magnoliapitch.http.body import read_body
 from magnoliapitch.http.limits import HttpLimits
 from magnoliapitch.http.message import HttpRequest
@@ -38,13 +38,16 @@
 
 DEFAULT_LIMITS = HttpLimits()
 
-_UNSAFE = re.compile(r"[^\t -~\x80-\xff]")
+_UNSAFE_HEADER_CHARACTERS = re.compile(r"[^\t -~\x80-\xff]")
 
 
 class Route(NamedTuple):
-    """A registered handler.
+    """A handler registered for a method and a path.
 
+    :param method: HTTP method in upper case.
     :param path: path with ``{name}`` for placeholders.
+    :param pattern: expression that matches the whole path and captures the
+        values of the placeholders.
     """
 
     method: str
@@ -54,23 +57,28 @@
 
 
 class Application:
-    """Dispatches requests to handlers that ``route`` registers.
+    """Dispatches requests to the handlers registered with ``route``.
 
-    :param is_closing: tells whether answers end their connection.
-    :ivar routes: everything that was registered.
+    :param body_max_bytes: longest accepted request body.
+    :param closes_connections: returns whether responses currently ask for
+        their connection to be closed.
+    :ivar routes: registered routes, in order of registration.
     """
 
     def __init__(
         self,
         body_max_bytes: int = DEFAULT_LIMITS.body_max_bytes,
-        is_closing: Callable[[], bool] | None = None,
+        closes_connections: Callable[[], bool] | None = None,
     ) -> None:
         self.routes: list[Route] = []
         self._body_max_bytes = body_max_bytes
-        self._is_closing = is_closing
+        self._closes_connections = closes_connections
 
     def route(self, method: str, path: str) -> Callable[[Handler], Handler]:
-        """Register a handler; ``{name}`` in the path is a placeholder."""
+        """Return a decorator that registers a handler.
+
+        :param path: path; ``{name}`` is a placeholder for one segment.
+        """
         expression = re.sub(r"\{(\w+)\}", r"(?P<\1>[^/]+)", path)
 
         def register(handler: Handler) -> Handler:
@@ -81,36 +89,41 @@
         return register
 
     def handle(self, request: HttpRequest) -> HttpResponse:
-        """Call the handler of the matching route."""
-        methods: list[str] = []
+        """Call the handler of the first matching route.
+
+        :return: the handler's response, or 404 or 405 as problem details.
+        """
+        allowed_methods: list[str] = []
         for route in self.routes:
             match = route.pattern.match(request.path)
             if match is None:
                 continue
             if route.method != request.method:
-                methods.append(route.method)
+                allowed_methods.append(route.method)
                 continue
             values = {
                 name: unquote(value)
                 for name, value in match.groupdict().items()
             }
             return route.handler(request._replace(path_values=values))
-        return _no_route(request, methods)
+        return _no_matching_route(request, allowed_methods)
 
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Serve one WSGI request."""
-        request_id = _given_id(environ)
+        """Handle one WSGI request and return the chunks of the body."""
+        request_id = _received_request_id(environ)
         if not is_valid_request_id(request_id):
-            return self.refuse(environ, start_response, _invalid_id())
+            return self.refuse(
+                environ, start_response, _invalid_request_id_failure()
+            )
         body = read_body(environ, self._body_max_bytes)
         if not isinstance(body, bytes):
-            return self._write(environ, start_response, body)
-        request = _request_from(environ, request_id, body)
+            return self._send(environ, start_response, body)
+        request = _parse_request(environ, request_id, body)
         with request_context(request_id):
             response = self._handle_safely(request)
-        return self._write(environ, start_response, response)
+        return self._send(environ, start_response, response)
 
     def refuse(
         self,
@@ -118,11 +131,17 @@
         start_response: StartResponse,
         failure: Failure,
     ) -> Iterable[bytes]:
-        """Answer a WSGI request with a failure, its body unread."""
-        response = problem_response(failure, _own_id(environ))
+        """Respond with a failure without reading the request body.
+
+        A chunked body has no known length to skip, so the connection is
+        closed.
+        """
+        response = problem_response(failure, _valid_request_id(environ))
         if environ.get("wsgi.input_terminated"):
-            response = response._replace(headers=(*response.headers, CLOSE))
-        return self._write(environ, start_response, response)
+            response = response._replace(
+                headers=(*response.headers, CONNECTION_CLOSE)
+            )
+        return self._send(environ, start_response, response)
 
     def _handle_safely(self, request: HttpRequest) -> HttpResponse:
         try:
@@ -132,7 +151,7 @@
             failure = may_have_run(FailureCode.INTERNAL, "internal error")
             return problem_response(failure, request.request_id)
 
-    def _write(
+    def _send(
         self,
         environ: dict[str, Any],
         start_response: StartResponse,
@@ -144,29 +163,34 @@
             *response.headers,
         ]
         if not any(name == REQUEST_ID_HEADER for name, _ in headers):
-            headers.append((REQUEST_ID_HEADER, _own_id(environ)))
-        is_closing = self._is_closing is not None and self._is_closing()
-        if is_closing and CLOSE not in headers:
-            headers.append(CLOSE)
-        safe = [(name, _UNSAFE.sub(" ", value)) for name, value in headers]
-        start_response(_status_line(response.status), safe)
+            headers.append((REQUEST_ID_HEADER, _valid_request_id(environ)))
+        must_close = (
+            self._closes_connections is not None and self._closes_connections()
+        )
+        if must_close and CONNECTION_CLOSE not in headers:
+            headers.append(CONNECTION_CLOSE)
+        safe_headers = [
+            (name, _UNSAFE_HEADER_CHARACTERS.sub(" ", value))
+            for name, value in headers
+        ]
+        start_response(_status_line(response.status), safe_headers)
         return [response.body]
 
 
-def _given_id(environ: dict[str, Any]) -> str:
-    given: str = environ.get("HTTP_X_REQUEST_ID", "")
-    if not given:
-        given = environ["HTTP_X_REQUEST_ID"] = new_request_id()
-    return given
+def _received_request_id(environ: dict[str, Any]) -> str:
+    request_id: str = environ.get("HTTP_X_REQUEST_ID", "")
+    if not request_id:
+        request_id = environ["HTTP_X_REQUEST_ID"] = new_request_id()
+    return request_id
 
 
-def _own_id(environ: dict[str, Any]) -> str:
-    if not is_valid_request_id(_given_id(environ)):
+def _valid_request_id(environ: dict[str, Any]) -> str:
+    if not is_valid_request_id(_received_request_id(environ)):
         environ["HTTP_X_REQUEST_ID"] = new_request_id()
-    return _given_id(environ)
+    return _received_request_id(environ)
 
 
-def _invalid_id() -> Failure:
+def _invalid_request_id_failure() -> Failure:
     return not_run(
         FailureCode.INVALID,
         f"{REQUEST_ID_HEADER} must be 1 to 128 letters, digits "
@@ -174,20 +198,22 @@
     )
 
 
-def _no_route(request: HttpRequest, methods: list[str]) -> HttpResponse:
-    if not methods:
+def _no_matching_route(
+    request: HttpRequest, allowed_methods: list[str]
+) -> HttpResponse:
+    if not allowed_methods:
         failure = not_run(
-            FailureCode.NOT_FOUND, f"no such path: {request.path}"
+            FailureCode.NOT_FOUND, f"no route for path {request.path}"
         )
         return problem_response(failure, request.request_id)
     failure = not_run(
         FailureCode.INVALID,
-        f"{request.path} does not allow {request.method}",
+        f"{request.path} does not allow method {request.method}",
     )
     response = problem_response(
         failure, request.request_id, HTTPStatus.METHOD_NOT_ALLOWED
     )
-    allow = ("Allow", ", ".join(sorted(methods)))
+    allow = ("Allow", ", ".join(sorted(allowed_methods)))
     return response._replace(headers=(*response.headers, allow))
 
 
@@ -198,7 +224,7 @@
         return f"{status} Unknown"
 
 
-def _request_from(
+def _parse_request(
     environ: dict[str, Any], request_id: str, body: bytes
 ) -> HttpRequest:
     headers = {
--- a/src/magnoliapitch/http/body.py
+++ b/src/magnoliapitch/http/body.py
@@ -1,4 +1,4 @@
-"""Reads the body of a WSGI request, and refuses broken ones."""
+"""Reads the body of a WSGI request and rejects malformed bodies."""
 
 from __future__ import annotations
 
@@ -17,67 +17,69 @@
     from magnoliapitch.http.message import HttpResponse
 
 
-CLOSE = ("Connection", "close")
+CONNECTION_CLOSE = ("Connection", "close")
 
 
 def read_body(environ: dict[str, Any], max_bytes: int) -> bytes | HttpResponse:
-    """Return the complete body, or the refusal of a broken request.
+    """Return the complete body, or an error response.
 
-    After a refusal the connection is closed, since it is not known where
-    the next request would begin.
+    An error response closes the connection, since it is unknown where the
+    next request would begin.
+
+    :param max_bytes: longest accepted body.
     """
     is_chunked = bool(environ.get("wsgi.input_terminated"))
     length = int(environ.get("CONTENT_LENGTH") or 0)
     if not is_chunked and not length:
         return b""
     if length > max_bytes:
-        return _refuse(environ, *_too_large(max_bytes))
+        return _error_response(environ, *_too_large_error(max_bytes))
     try:
         body: bytes = environ["wsgi.input"].read(
             max_bytes + 1 if is_chunked else length
         )
     except TimeoutError:
-        return _refuse(
+        return _error_response(
             environ,
             HTTPStatus.REQUEST_TIMEOUT,
             FailureCode.TIMEOUT,
-            "the body did not arrive in time",
+            "the request body did not arrive before the read timeout",
         )
     except MaxSizeExceeded:
-        return _refuse(environ, *_too_large(max_bytes))
+        return _error_response(environ, *_too_large_error(max_bytes))
     except (OSError, ValueError) as error:
         if "Too Large" in str(error):
-            return _refuse(environ, *_too_large(max_bytes))
-        return _refuse(
+            return _error_response(environ, *_too_large_error(max_bytes))
+        return _error_response(
             environ,
             HTTPStatus.BAD_REQUEST,
             FailureCode.INVALID,
-            f"broken body: {error}",
+            f"the request body cannot be read: {error}",
         )
     if is_chunked and len(body) > max_bytes:
-        return _refuse(environ, *_too_large(max_bytes))
+        return _error_response(environ, *_too_large_error(max_bytes))
     if not is_chunked and len(body) < length:
-        return _refuse(
+        return _error_response(
             environ,
             HTTPStatus.BAD_REQUEST,
             FailureCode.INVALID,
-            f"{len(body)} of {length} bytes of the body arrived",
+            f"only {len(body)} of {length} bytes of the request body arrived",
         )
     return body
 
 
-def _too_large(max_bytes: int) -> tuple[HTTPStatus, FailureCode, str]:
+def _too_large_error(max_bytes: int) -> tuple[HTTPStatus, FailureCode, str]:
     return (
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
         FailureCode.TOO_LARGE,
-        f"at most {max_bytes} bytes of body are allowed",
+        f"the request body exceeds the limit of {max_bytes} bytes",
     )
 
 
-def _refuse(
-    environ: dict[str, Any], status: HTTPStatus, code: FailureCode, text: str
+def _error_response(
+    environ: dict[str, Any], status: HTTPStatus, code: FailureCode, detail: str
 ) -> HttpResponse:
     response = problem_response(
-        not_run(code, text), environ.get("HTTP_X_REQUEST_ID", ""), status
+        not_run(code, detail), environ.get("HTTP_X_REQUEST_ID", ""), status
     )
-    return response._replace(headers=(*response.headers, CLOSE))
+    return response._replace(headers=(*response.headers, CONNECTION_CLOSE))
--- a/src/magnoliapitch/http/client.py
+++ b/src/magnoliapitch/http/client.py
@@ -1,4 +1,4 @@
-"""Calls to HTTP services."""
+"""HTTP clients for other services, without retries or redirects."""
 
 from __future__ import annotations
 
@@ -35,20 +35,24 @@
 
 ValueT = TypeVar("ValueT")
 
-TIMEOUT_MS = 5_000
+DEFAULT_TIMEOUT_MS = 5_000
 HTTP_OK = 200
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
-Observer = Callable[[str, float, bool], None]
+CallObserver = Callable[[str, float, bool], None]
 
 
-def _observe_nothing(path: str, duration_ms: float, is_ok: bool) -> None:
+def _ignore_call(path: str, duration_ms: float, is_ok: bool) -> None:
     del path, duration_ms, is_ok
 
 
 class HttpReply(NamedTuple):
-    """A complete answer."""
+    """A completely received response.
+
+    :param status: HTTP status.
+    :param data: body.
+    """
 
     status: int
     data: bytes
@@ -57,15 +61,15 @@
 class HttpClient:
     """Sends requests once, without retries or redirects.
 
-    :param connections: connections that are kept open to each server.
-    :param observe: takes the path, the duration in milliseconds and
-        whether there was a complete answer, after every call.
+    :param connections: idle connections kept open to each server.
+    :param observe: called after every request with the URL path, the
+        duration in milliseconds and whether a complete response arrived.
     """
 
     def __init__(
-        self, connections: int = 8, observe: Observer | None = None
+        self, connections: int = 8, observe: CallObserver | None = None
     ) -> None:
-        self._observe = observe or _observe_nothing
+        self._observe = observe or _ignore_call
         self._pool = urllib3.PoolManager(
             num_pools=512, maxsize=connections, retries=False
         )
@@ -78,7 +82,12 @@
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> Result[HttpReply, Failure]:
-        """Send a request and return the complete answer."""
+        """Send a request and return the complete response.
+
+        :param timeout_ms: limit for connecting, and for each wait for data.
+        :return: the response with any status, or a failure: ``not_run``
+            if no connection could be established, else ``may_have_run``.
+        """
         started_ns = time.perf_counter_ns()
         outcome = self._send(method, url, timeout_ms, body, headers)
         duration_ms = (time.perf_counter_ns() - started_ns) / 1_000_000
@@ -112,9 +121,13 @@
 
 
 class JsonClient:
-    """Sends JSON requests once, without retries or redirects."""
+    """Sends JSON requests once, without retries or redirects.
+
+    :param base_url: URL that the path of each call is appended to.
+    :param timeout_ms: limit for connecting, and for each wait for data.
+    """
 
-    def __init__(self, base_url: str, timeout_ms: int = TIMEOUT_MS) -> None:
+    def __init__(self, base_url: str, timeout_ms: int = DEFAULT_TIMEOUT_MS) -> None:
         self._base_url = base_url.rstrip("/")
         self._timeout_ms = timeout_ms
         self._client = HttpClient()
@@ -126,9 +139,13 @@
         value: object = None,
         server_wait_ms: int = 0,
     ) -> Result[Any, Failure]:
-        """Send a request and decode the JSON answer.
+        """Send a request and decode the JSON response.
 
-        :param server_wait_ms: time that the server itself may wait.
+        :param value: sent as the JSON body; no body if ``None``.
+        :param server_wait_ms: time that the server may hold the request
+            before it responds, added to the timeout.
+        :return: the decoded value of a response with status 200, else a
+            failure.
         """
         body = None if value is None else orjson.dumps(value)
         reply = self._client.exchange(
@@ -138,18 +155,24 @@
             body,
             JSON_HEADERS,
         )
-        return reply.and_then(lambda got: _decode(got.status, got.data))
+        return reply.and_then(
+            lambda received: _decode(received.status, received.data)
+        )
 
 
 def validate_response(
     adapter: TypeAdapter[ValueT], value: object
 ) -> Result[ValueT, Failure]:
-    """Validate an answer; a malformed one may follow an effect."""
+    """Validate the decoded body of a response.
+
+    :return: the validated value, or a ``may_have_run`` failure: the server
+        may have executed the request before it sent a malformed response.
+    """
     try:
         return Ok(adapter.validate_python(value))
     except ValidationError as error:
         first = error.errors(include_url=False, include_input=False)[0]
-        detail = f"answer: {first['loc']}: {first['msg']}"
+        detail = f"invalid response: {first['loc']}: {first['msg']}"
         return Err(may_have_run(FailureCode.BAD_ANSWER, detail))
 
 
@@ -163,21 +186,26 @@
     return Err(_failure_from(value))
 
 
-class _Problem(NamedTuple):
+class _ProblemDetails(NamedTuple):
     verdict: Verdict
     title: FailureCode
     detail: str
     retry_after_ms: Annotated[int, Field(ge=0, le=86_400_000)] | None = None
 
 
-_PROBLEM: TypeAdapter[_Problem] = TypeAdapter(_Problem)
+_PROBLEM_DETAILS: TypeAdapter[_ProblemDetails] = TypeAdapter(_ProblemDetails)
 
 
 def _failure_from(problem: Any) -> Failure:
     try:
         fields = {
-            name: problem[name] for name in _Problem._fields if name in problem
+            name: problem[name]
+            for name in _ProblemDetails._fields
+            if name in problem
         }
-        return Failure(*_PROBLEM.validate_python(fields))
+        return Failure(*_PROBLEM_DETAILS.validate_python(fields))
     except (KeyError, TypeError, ValidationError):
-        return may_have_run(FailureCode.BAD_ANSWER, f"answer {problem!r}")
+        return may_have_run(
+            FailureCode.BAD_ANSWER,
+            f"expected problem details, found {problem!r}",
+        )
--- a/src/magnoliapitch/http/concurrency.py
+++ b/src/magnoliapitch/http/concurrency.py
@@ -1,4 +1,4 @@
-"""Refuses requests while all threads but a reserve are busy."""
+"""Limits the requests that an application handles at the same time."""
 
 from __future__ import annotations
 
@@ -19,39 +19,45 @@
     from magnoliapitch.verdict import Failure
 
 
-RETRY_MS = 500
+RETRY_AFTER_MS = 500
 
 
 class ConcurrencyLimit:
-    """A WSGI application that handles a bounded number of requests."""
+    """A WSGI application that refuses requests beyond a concurrency limit.
 
-    def __init__(self, application: Application, busy_max: int) -> None:
+    :param application: application that handles the accepted requests.
+    :param max_active_requests: requests handled at the same time.
+    """
+
+    def __init__(
+        self, application: Application, max_active_requests: int
+    ) -> None:
         self._application = application
-        self._busy_max = busy_max
-        self._busy = 0
+        self._max_active_requests = max_active_requests
+        self._active_requests = 0
         self._lock = threading.Lock()
 
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Serve one WSGI request, or refuse it at once."""
+        """Handle one WSGI request, or refuse it without waiting."""
         with self._lock:
-            is_full = self._busy >= self._busy_max
-            if not is_full:
-                self._busy += 1
-        if is_full:
+            is_at_limit = self._active_requests >= self._max_active_requests
+            if not is_at_limit:
+                self._active_requests += 1
+        if is_at_limit:
             return self._application.refuse(
-                environ, start_response, self._failure()
+                environ, start_response, self._overload_failure()
             )
         try:
             return self._application(environ, start_response)
         finally:
             with self._lock:
-                self._busy -= 1
+                self._active_requests -= 1
 
-    def _failure(self) -> Failure:
+    def _overload_failure(self) -> Failure:
         return not_run(
             FailureCode.OVERLOADED,
-            f"all {self._busy_max} threads are busy",
-            RETRY_MS,
+            f"all {self._max_active_requests} request threads are busy",
+            RETRY_AFTER_MS,
         )
--- a/src/magnoliapitch/http/limits.py
+++ b/src/magnoliapitch/http/limits.py
@@ -1,4 +1,4 @@
-"""Limits of a listener."""
+"""Limits on what a listener accepts from its clients."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 
 class HttpLimits(NamedTuple):
-    """What a listener accepts from its clients at most.
+    """Limits on what a listener accepts from its clients.
 
     :param body_max_bytes: longest body of a request.
-    :param header_max_bytes: longest request line, and longest sum of the
-        headers.
-    :param connections: open connections; requests on further ones are
-        refused, and beyond twice as many connections are closed.
-    :param waiting_connections: connections with a request that waits for
-        a thread.
-    :param reserve_threads: threads that only refuse while all others are
-        busy.
+    :param header_max_bytes: longest request line, and largest total size of
+        the headers of a request.
+    :param connections: open connections; requests on connections beyond
+        the limit are refused, and connections beyond twice the limit are
+        closed at once.
+    :param waiting_connections: connections whose request waits for a
+        thread.
+    :param reserve_threads: further threads, which only refuse requests
+        while all other threads are busy.
     :param read_timeout_ms: time for a request to arrive completely, and
         for an idle connection to stay open.
     """
--- a/src/magnoliapitch/http/listener.py
+++ b/src/magnoliapitch/http/listener.py
@@ -1,4 +1,4 @@
-"""A cheroot listener as a supervised child."""
+"""HTTP listener that a supervisor can start, restart and stop."""
 
 from __future__ import annotations
 
@@ -25,14 +25,17 @@
 class Listener:
     """Serves an application on an IP address and port.
 
-    Each start binds anew, so that a restart gets a working socket; a port
-    that was picked by the first start is kept.
-
-    :ivar application: what is served.
-    :param threads: requests served at once; each holds a thread. A
-        reserve of further threads refuses what exceeds them.
-    :param stop_timeout_s: longest wait for requests in flight.
-    :param limits: what clients may send at most.
+    Each start binds a new socket, so that a restart replaces a broken one.
+    With port 0 the operating system picks a port on the first start, and
+    later starts keep it.
+
+    :param name: name of the listener in logs and among its siblings.
+    :param address: IP address and port to bind.
+    :param threads: requests handled at the same time, one thread each.
+        ``limits.reserve_threads`` further threads refuse the excess.
+    :param stop_timeout_s: longest wait for requests in flight on stop.
+    :param limits: limits on connections and requests of clients.
+    :ivar application: application that handles the requests.
     """
 
     def __init__(
@@ -55,11 +58,11 @@
 
     @property
     def port(self) -> int:
-        """Port that the listener is, or will be, bound to."""
+        """Port that the listener is or will be bound to; 0 if not picked."""
         return self._address[1]
 
     def start(self) -> None:
-        """Bind and serve in a thread of its own.
+        """Bind the address and serve requests in a new thread.
 
         :raises StartError: if the address cannot be bound.
         """
@@ -79,13 +82,13 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop accepting and wait for requests in flight."""
+        """Stop accepting connections and wait for requests in flight."""
         server, self._server = self._server, None
         if server is not None:
             server.stop()
 
     def is_alive(self) -> bool:
-        """Return whether the serving thread runs."""
+        """Return whether the thread that serves requests is running."""
         return self._thread is not None and self._thread.is_alive()
 
     def _make_server(self) -> Any:
--- a/src/magnoliapitch/http/message.py
+++ b/src/magnoliapitch/http/message.py
@@ -1,4 +1,4 @@
-"""HTTP requests and responses as plain values."""
+"""HTTP requests and responses as immutable values."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 class HttpRequest(NamedTuple):
-    """A request that an application handles.
+    """A request passed to a handler.
 
-    :param path_values: values of the placeholders of the route's path.
+    :param path_values: decoded values by placeholder of the route's path.
+    :param query_by_name: query parameters by name.
     :param headers_by_name: headers by lower-case name.
-    :param request_id: the caller's id of the request, or a new one.
+    :param request_id: request ID given by the caller, or a generated one.
     """
 
     method: str
@@ -26,15 +27,19 @@
     request_id: str = ""
 
     def json(self) -> Any:
-        """Decode the body.
+        """Decode the body as JSON.
 
-        :raises ValueError: if the body is not JSON.
+        :raises ValueError: if the body is not valid JSON.
         """
         return orjson.loads(self.body)
 
 
 class HttpResponse(NamedTuple):
-    """A response of an application."""
+    """A response returned by a handler.
+
+    :param content_type: media type of the body.
+    :param headers: further headers as name and value.
+    """
 
     status: int
     body: bytes = b""
@@ -47,5 +52,5 @@
     status: int = 200,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> HttpResponse:
-    """Return a JSON response."""
+    """Return a response with a value encoded as JSON."""
     return HttpResponse(status, orjson.dumps(value), headers=headers)
--- a/src/magnoliapitch/http/problem.py
+++ b/src/magnoliapitch/http/problem.py
@@ -1,4 +1,4 @@
-"""Failures as RFC 9457 problem details."""
+"""Converts failures to RFC 9457 problem details responses."""
 
 from __future__ import annotations
 
@@ -42,9 +42,10 @@
 def problem_response(
     failure: Failure, request_id: str = "", status: int | None = None
 ) -> HttpResponse:
-    """Return a failure as problem details with its verdict.
+    """Return a response that describes a failure as problem details.
 
-    :param status: HTTP status if it is not the usual one of the code.
+    :param request_id: request ID to include, if any.
+    :param status: HTTP status, by default that of the failure's code.
     """
     status = status or STATUS_BY_CODE[failure.code]
     problem: dict[str, object] = {
@@ -58,9 +59,9 @@
         problem["request_id"] = request_id
     headers: tuple[tuple[str, str], ...] = ()
     if failure.retry_after_ms is not None:
-        seconds = -(-failure.retry_after_ms // 1000)
+        retry_after_s = -(-failure.retry_after_ms // 1000)
         problem["retry_after_ms"] = failure.retry_after_ms
-        headers = (("Retry-After", str(seconds)),)
+        headers = (("Retry-After", str(retry_after_s)),)
     return HttpResponse(
         status, orjson.dumps(problem), CONTENT_TYPE, headers=headers
     )
--- a/src/magnoliapitch/http/reader.py
+++ b/src/magnoliapitch/http/reader.py
@@ -1,4 +1,8 @@
-"""Reads a request within one deadline, however slowly it arrives."""
+"""Reads requests from a socket with one deadline for each whole request.
+
+A socket timeout alone limits only each single read, so that a client could
+hold a connection by sending one byte at a time.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from cheroot.makefile import StreamWriter
 
 
-class _DeadlineIO(socket.SocketIO):
+class _DeadlineSocketIO(socket.SocketIO):
     def __init__(self, stream: socket.socket, timeout_s: float) -> None:
         super().__init__(stream, "r")
         self._stream = stream
@@ -19,61 +23,67 @@
         self._deadline_s = time.monotonic() + timeout_s
         self.bytes_received = 0
 
-    def restart(self) -> None:
-        """Give the next request its full time."""
+    def restart_deadline(self) -> None:
+        """Restart the deadline for the next request."""
         self._deadline_s = time.monotonic() + self._timeout_s
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read what has arrived.
+        """Read the available bytes, waiting for some if there are none.
 
-        :raises TimeoutError: when the request took too long.
+        :raises TimeoutError: if the deadline of the request has passed.
         """
-        left_s = self._deadline_s - time.monotonic()
-        if left_s <= 0:
+        remaining_s = self._deadline_s - time.monotonic()
+        if remaining_s <= 0:
+            # cheroot recognises a timeout by this text.
             raise TimeoutError("timed out")
-        self._stream.settimeout(left_s)
+        self._stream.settimeout(remaining_s)
         try:
-            count = super().readinto(buffer)
+            received_count = super().readinto(buffer)
         finally:
             self._stream.settimeout(self._timeout_s)
-        self.bytes_received += count or 0
-        return count
+        self.bytes_received += received_count or 0
+        return received_count
 
 
 class DeadlineReader(io.BufferedReader):
-    """Buffered reader of a connection whose requests have a deadline.
+    """Buffered reader of a connection with a deadline for each request.
+
+    The deadline is the socket's timeout, counted from the last restart.
 
-    :ivar bytes_read: bytes handed out so far.
+    :ivar bytes_read: bytes returned to the caller so far.
     """
 
     def __init__(self, stream: socket.socket, buffer_bytes: int) -> None:
-        self._deadline = _DeadlineIO(stream, stream.gettimeout() or 0)
-        super().__init__(self._deadline, buffer_bytes)
+        self._deadline_io = _DeadlineSocketIO(stream, stream.gettimeout() or 0)
+        super().__init__(self._deadline_io, buffer_bytes)
         self.bytes_read = 0
 
-    def restart(self) -> None:
-        """Give the next request its full time."""
-        self._deadline.restart()
+    def restart_deadline(self) -> None:
+        """Restart the deadline for the next request."""
+        self._deadline_io.restart_deadline()
 
     def has_data(self) -> bool:
-        """Return whether bytes have arrived that were not handed out."""
-        return self._deadline.bytes_received > self.bytes_read
+        """Return whether received bytes are still in the buffer."""
+        return self._deadline_io.bytes_received > self.bytes_read
 
     def read(self, size: int | None = -1, /) -> bytes:
-        """Read and count bytes."""
+        """Read bytes and add them to ``bytes_read``."""
         data = super().read(size)
         self.bytes_read += len(data)
         return data
 
     def readline(self, size: int | None = -1, /) -> bytes:
-        """Read and count a line."""
+        """Read a line and add its length to ``bytes_read``."""
         line = super().readline(size)
         self.bytes_read += len(line)
         return line
 
 
 def make_file(stream: socket.socket, mode: str, buffer_bytes: int) -> Any:
-    """Return a buffered reader or writer of a connection."""
+    """Return a buffered reader or writer of a connection.
+
+    :param mode: reader if it contains ``r``, else writer.
+    """
     if "r" in mode:
         return DeadlineReader(stream, buffer_bytes)
     return StreamWriter(stream, mode, buffer_bytes)
--- a/src/magnoliapitch/http/request_id.py
+++ b/src/magnoliapitch/http/request_id.py
@@ -1,4 +1,4 @@
-"""Ids that callers give to their requests."""
+"""Request IDs: validation of those that callers send, and generation."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 
-_VALID = re.compile(r"[A-Za-z0-9._~:/+=@-]{1,128}", re.ASCII)
+_VALID_REQUEST_ID = re.compile(r"[A-Za-z0-9._~:/+=@-]{1,128}", re.ASCII)
 
 
 def is_valid_request_id(value: str) -> bool:
-    """Return whether a caller's id can be repeated as it is."""
-    return _VALID.fullmatch(value) is not None
+    """Return whether a request ID from a caller is safe to echo and log."""
+    return _VALID_REQUEST_ID.fullmatch(value) is not None
 
 
 def new_request_id() -> str:
-    """Return an id for a request that brought none."""
+    """Generate an ID for a request that has none."""
     return uuid.uuid4().hex
--- a/src/magnoliapitch/http/server.py
+++ b/src/magnoliapitch/http/server.py
@@ -1,4 +1,8 @@
-"""cheroot with problem details, and with bounds where it has none."""
+"""cheroot server with problem details as error responses and with limits.
+
+It adds what cheroot lacks: limits on open and waiting connections, a
+deadline for a whole request, and the rejection of ambiguous requests.
+"""
 
 from __future__ import annotations
 
@@ -30,8 +34,8 @@
     from magnoliapitch.verdict import Failure
 
 
-RETRY_MS = 1_000
-DISCARD_BYTES = 1 << 16
+RETRY_AFTER_MS = 1_000
+DISCARD_MAX_BYTES = 1 << 16
 
 _CODE_BY_STATUS = {
     400: FailureCode.INVALID,
@@ -43,7 +47,7 @@
     503: FailureCode.OVERLOADED,
     505: FailureCode.INVALID,
 }
-_SINGLE_HEADERS = frozenset(
+_UNREPEATABLE_HEADERS = frozenset(
     (
         b"Content-Length",
         b"Host",
@@ -56,16 +60,18 @@
 
 class _Headers(dict[bytes, bytes]):
     def __setitem__(self, name: bytes, value: bytes) -> None:
-        if name in _SINGLE_HEADERS and name in self:
-            raise ValueError(f"{name.decode('latin-1')} is given twice")
+        if name in _UNREPEATABLE_HEADERS and name in self:
+            raise ValueError(
+                f"header {name.decode('latin-1')} occurs more than once"
+            )
         super().__setitem__(name, value)
 
 
 class _Request(server.HTTPRequest):
-    is_handled = False
+    has_called_application = False
 
-    def __init__(self, owner: BoundedServer, conn: _Connection) -> None:
-        super().__init__(owner, conn)
+    def __init__(self, http_server: BoundedServer, conn: _Connection) -> None:
+        super().__init__(http_server, conn)
         self.inheaders = _Headers()
 
     def parse_request(self) -> None:
@@ -82,11 +88,13 @@
         return True
 
     def respond(self) -> None:
-        if self.conn.is_excess:
-            self.simple_response("503 Service Unavailable", "connection limit")
+        if self.conn.is_over_limit:
+            self.simple_response(
+                "503 Service Unavailable", "the connection limit is reached"
+            )
             self.close_connection = True
             return
-        self.is_handled = True
+        self.has_called_application = True
         super().respond()
 
     def send_headers(self) -> None:
@@ -99,17 +107,17 @@
         self.close_connection = True
         self.sent_headers = True
         response = problem_response(
-            self._failure(number, str(msg)), self._id(), number
+            self._failure(number, str(msg)), self._request_id(), number
         )
-        head = [
+        head_lines = [
             f"HTTP/1.1 {number} {HTTPStatus(number).phrase}",
             f"Content-Type: {response.content_type}",
             f"Content-Length: {len(response.body)}",
-            f"{REQUEST_ID_HEADER}: {self._id()}",
+            f"{REQUEST_ID_HEADER}: {self._request_id()}",
             "Connection: close",
             *(f"{name}: {value}" for name, value in response.headers),
         ]
-        data = "\r\n".join(head).encode("latin-1") + b"\r\n\r\n"
+        data = "\r\n".join(head_lines).encode("latin-1") + b"\r\n\r\n"
         with contextlib.suppress(OSError):
             self.conn.wfile.write(data + response.body)
 
@@ -117,62 +125,72 @@
         headers = self.inheaders
         length = headers.get(b"Content-Length", b"0")
         if not length.isdigit():
-            return "Content-Length is not a number"
+            return "Content-Length is not a decimal number"
         if b"Transfer-Encoding" not in headers:
             return ""
         if b"Content-Length" in headers:
-            return "both Content-Length and Transfer-Encoding"
+            return "Content-Length and Transfer-Encoding must not both be set"
         if not self.chunked_read:
-            return "Transfer-Encoding is not chunked"
+            return "Transfer-Encoding must be chunked"
         return ""
 
     def _failure(self, status: int, detail: str) -> Failure:
-        if self.is_handled:
+        if self.has_called_application:
             return may_have_run(FailureCode.INTERNAL, "internal error")
         code = _CODE_BY_STATUS.get(status, FailureCode.INTERNAL)
         text = detail or HTTPStatus(status).phrase
-        retry_ms = RETRY_MS if code is FailureCode.OVERLOADED else None
-        return not_run(code, text, retry_ms)
+        retry_after_ms = (
+            RETRY_AFTER_MS if code is FailureCode.OVERLOADED else None
+        )
+        return not_run(code, text, retry_after_ms)
 
-    def _id(self) -> str:
+    def _request_id(self) -> str:
         given = self.inheaders.get(REQUEST_ID_HEADER.encode(), b"")
-        text: str = given.decode("latin-1")
-        if not is_valid_request_id(text):
+        request_id: str = given.decode("latin-1")
+        if not is_valid_request_id(request_id):
             self.inheaders.pop(REQUEST_ID_HEADER.encode(), None)
-            text = new_request_id()
-            self.inheaders[REQUEST_ID_HEADER.encode()] = text.encode()
-        return text
+            request_id = new_request_id()
+            self.inheaders[REQUEST_ID_HEADER.encode()] = request_id.encode()
+        return request_id
 
 
 class _Connection(server.HTTPConnection):
     RequestHandlerClass = _Request
 
-    def __init__(self, owner: BoundedServer, stream: Any, _: Any) -> None:
-        super().__init__(owner, stream, make_file)
+    def __init__(
+        self, http_server: BoundedServer, stream: Any, _: Any
+    ) -> None:
+        super().__init__(http_server, stream, make_file)
         self.is_new = True
-        self.is_excess = False
+        self.is_over_limit = False
         self._is_closed = False
 
     def refuse(self) -> None:
-        """Answer without reading the request, and close."""
+        """Respond with 503 without reading the request, then close."""
         with contextlib.suppress(OSError):
-            self.socket.recv(DISCARD_BYTES, socket.MSG_DONTWAIT)
+            self.socket.recv(DISCARD_MAX_BYTES, socket.MSG_DONTWAIT)
         _Request(self.server, self).simple_response(
-            "503 Service Unavailable", "too many requests wait for a thread"
+            "503 Service Unavailable",
+            "too many requests are waiting for a thread",
         )
         self.close()
 
     def close(self) -> None:
         if not self._is_closed:
             self._is_closed = True
-            self.server.count(-1)
+            self.server.change_open_count(-1)
         super().close()
 
 
 class BoundedServer(wsgi.Server):
-    """A cheroot server within the limits of a listener.
+    """A cheroot server that enforces ``HttpLimits``.
+
+    A connection occupies a thread only once it has sent data.
 
-    A connection takes a thread only once it has sent something.
+    :param address: IP address and port to bind.
+    :param threads: worker threads, including the reserve that refuses
+        requests.
+    :param stop_timeout_s: longest wait for requests in flight on stop.
     """
 
     ConnectionClass = _Connection
@@ -200,17 +218,20 @@
         self.max_request_body_size = limits.body_max_bytes
         self.keep_alive_conn_limit = limits.connections
         self._limits = limits
-        self._open = 0
-        self._count_lock = threading.Lock()
+        self._open_count = 0
+        self._open_count_lock = threading.Lock()
 
-    def count(self, change: int) -> int:
-        """Change the number of open connections and return it."""
-        with self._count_lock:
-            self._open += change
-            return self._open
+    def change_open_count(self, change: int) -> int:
+        """Add to the number of open connections and return the new number."""
+        with self._open_count_lock:
+            self._open_count += change
+            return self._open_count
 
     def process_conn(self, conn: Any) -> None:
-        """Queue a connection that has sent something for a thread."""
+        """Count a new connection; queue one that has sent data for a thread.
+
+        A connection that finds the queue full is refused and closed.
+        """
         if conn.is_new:
             self._accept(conn)
             return
@@ -221,9 +242,9 @@
 
     def _accept(self, conn: Any) -> None:
         conn.is_new = False
-        count = self.count(1)
-        conn.is_excess = count > self._limits.connections
-        if count > 2 * self._limits.connections:
+        open_count = self.change_open_count(1)
+        conn.is_over_limit = open_count > self._limits.connections
+        if open_count > 2 * self._limits.connections:
             conn.close()
             return
         self.put_conn(conn)
--- a/tests/http/test_listener.py
+++ b/tests/http/test_listener.py
@@ -31,10 +31,10 @@
 TIMEOUT_S = 20
 
 
-class Served:
+class RunningServer:
     def __init__(self) -> None:
-        self.calls = 0
-        self.go_on = threading.Event()
+        self.handler_calls = 0
+        self.release_handlers = threading.Event()
         self.application = Application(LIMITS.body_max_bytes)
         self.listener = Listener(
             "test", ("127.0.0.1", 0), self.application, THREADS, limits=LIMITS
@@ -42,13 +42,13 @@
 
         @self.application.route("POST", "/echo")
         def echo(request: HttpRequest) -> HttpResponse:
-            self.calls += 1
+            self.handler_calls += 1
             return HttpResponse(200, request.body, "text/plain")
 
         @self.application.route("GET", "/wait")
         def wait(request: HttpRequest) -> HttpResponse:
-            self.calls += 1
-            self.go_on.wait(TIMEOUT_S)
+            self.handler_calls += 1
+            self.release_handlers.wait(TIMEOUT_S)
             return json_response({})
 
         @self.application.route("GET", "/fail")
@@ -67,15 +67,15 @@
     def exchange(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
         with self.connect() as stream:
             stream.sendall(data)
-            return read_answer(stream)
+            return read_response(stream)
 
 
-def read_answer(stream: socket.socket) -> tuple[int, dict[str, str], bytes]:
+def read_response(stream: socket.socket) -> tuple[int, dict[str, str], bytes]:
     data = b""
     while b"\r\n\r\n" not in data:
-        part = stream.recv(65_536)
-        assert part, "closed without an answer"
-        data += part
+        chunk = stream.recv(65_536)
+        assert chunk, "the connection was closed without a response"
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     headers = dict(line.split(": ", 1) for line in lines[1:])
@@ -85,12 +85,12 @@
 
 
 @pytest.fixture
-def served() -> Iterator[Served]:
-    served = Served()
-    served.listener.start()
-    yield served
-    served.go_on.set()
-    served.listener.stop()
+def server() -> Iterator[RunningServer]:
+    server = RunningServer()
+    server.listener.start()
+    yield server
+    server.release_handlers.set()
+    server.listener.stop()
 
 
 def _post(head: str, body: bytes = b"") -> bytes:
@@ -132,109 +132,113 @@
         (b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", 404),
     ],
 )
-def test_listener_refuses_what_is_no_request(
-    served: Served, data: bytes, status: int
+def test_listener_rejects_malformed_requests(
+    server: RunningServer, data: bytes, status: int
 ) -> None:
-    found, headers, body = served.exchange(data)
+    found_status, headers, body = server.exchange(data)
     problem = orjson.loads(body)
-    assert found == problem["status"] == status
+    assert found_status == problem["status"] == status
     assert headers["Content-Type"] == "application/problem+json"
     assert problem["verdict"] == "not_run"
     assert headers["X-Request-Id"]
-    assert served.calls == 0
+    assert server.handler_calls == 0
 
 
-def test_listener_refuses_half_a_body_of_a_closed_connection(
-    served: Served,
+def test_listener_rejects_a_truncated_body_of_a_closed_connection(
+    server: RunningServer,
 ) -> None:
-    with served.connect() as stream:
+    with server.connect() as stream:
         stream.sendall(_post("Content-Length: 10\r\n", b"half"))
         stream.shutdown(socket.SHUT_WR)
-        status, headers, body = read_answer(stream)
+        status, headers, body = read_response(stream)
     assert (status, orjson.loads(body)["verdict"]) == (400, "not_run")
     assert headers["Connection"] == "close"
-    assert served.calls == 0
+    assert server.handler_calls == 0
 
 
-def test_listener_repeats_ids_and_keeps_connections(served: Served) -> None:
-    with served.connect() as stream:
+def test_listener_echoes_request_ids_and_keeps_connections(
+    server: RunningServer,
+) -> None:
+    with server.connect() as stream:
         for number in range(3):
             head = f"X-Request-Id: r{number}\r\nContent-Length: 3\r\n"
             stream.sendall(_post(head, b"abc"))
-            status, headers, body = read_answer(stream)
+            status, headers, body = read_response(stream)
             assert (status, body) == (200, b"abc")
             assert headers["X-Request-Id"] == f"r{number}"
         head = "X-Request-Id: r4\r\nTransfer-Encoding: chunked\r\n"
         stream.sendall(_post(head, b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"))
-        assert read_answer(stream)[2] == b"abc"
+        assert read_response(stream)[2] == b"abc"
 
 
-def test_listener_answers_for_a_broken_handler(served: Served) -> None:
+def test_listener_responds_500_when_a_handler_raises(server: RunningServer) -> None:
     data = b"GET /fail HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n\r\n"
-    status, headers, body = served.exchange(data)
+    status, headers, body = server.exchange(data)
     problem = orjson.loads(body)
     assert (status, problem["verdict"]) == (500, "may_have_run")
     assert headers["X-Request-Id"] == problem["request_id"] == "r1"
     assert "broken handler" not in body.decode()
 
 
-def test_listener_keeps_headers_apart(served: Served) -> None:
-    status, headers, _ = served.exchange(
+def test_listener_prevents_header_injection(server: RunningServer) -> None:
+    status, headers, _ = server.exchange(
         b"GET /inject HTTP/1.1\r\nHost: a\r\n\r\n"
     )
     assert status == 299
     assert "X-Evil" not in headers
 
 
-def test_listener_refuses_at_once_while_its_threads_are_busy(
-    served: Served,
+def test_listener_refuses_without_waiting_while_all_threads_are_busy(
+    server: RunningServer,
 ) -> None:
-    waiting = [served.connect() for _ in range(THREADS)]
+    waiting = [server.connect() for _ in range(THREADS)]
     for stream in waiting:
         stream.sendall(b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n")
-    while served.calls < THREADS:
+    while server.handler_calls < THREADS:
         pass
     for _ in range(3):
-        status, headers, body = served.exchange(
+        status, headers, body = server.exchange(
             b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n"
         )
         assert (status, orjson.loads(body)["verdict"]) == (503, "not_run")
         assert headers["Retry-After"] == "1"
-    served.go_on.set()
-    assert [read_answer(stream)[0] for stream in waiting] == [200, 200]
-    assert served.calls == THREADS
+    server.release_handlers.set()
+    assert [read_response(stream)[0] for stream in waiting] == [200, 200]
+    assert server.handler_calls == THREADS
     for stream in waiting:
         stream.close()
 
 
-def test_listener_gives_no_thread_to_a_silent_connection(
-    served: Served,
+def test_listener_assigns_no_thread_to_a_silent_connection(
+    server: RunningServer,
 ) -> None:
-    silent = [served.connect() for _ in range(4)]
-    status, _, _ = served.exchange(_post("Content-Length: 0\r\n"))
+    silent = [server.connect() for _ in range(4)]
+    status, _, _ = server.exchange(_post("Content-Length: 0\r\n"))
     assert status == 200
     for stream in silent:
         stream.close()
 
 
-def test_listener_refuses_beyond_its_connections(served: Served) -> None:
-    idle = [served.connect() for _ in range(LIMITS.connections)]
-    status, headers, body = served.exchange(_post("Content-Length: 0\r\n"))
+def test_listener_refuses_requests_beyond_the_connection_limit(server: RunningServer) -> None:
+    idle = [server.connect() for _ in range(LIMITS.connections)]
+    status, headers, body = server.exchange(_post("Content-Length: 0\r\n"))
     assert (status, orjson.loads(body)["verdict"]) == (503, "not_run")
     assert headers["Connection"] == "close"
     for stream in idle:
         stream.close()
 
 
-def test_listener_ends_a_request_that_drips(served: Served) -> None:
-    with served.connect() as stream:
+def test_listener_times_out_a_request_sent_byte_by_byte(
+    server: RunningServer,
+) -> None:
+    with server.connect() as stream:
         stream.sendall(b"POST /echo HTTP/1.1\r\nX-Slow: ")
         stream.settimeout(LIMITS.read_timeout_ms / 10_000)
         status = 0
         for _ in range(1_000):
             try:
                 stream.sendall(b"x")
-                status = read_answer(stream)[0]
+                status = read_response(stream)[0]
                 break
             except TimeoutError:
                 continue
--- a/tests/http/test_listener_start.py
+++ b/tests/http/test_listener_start.py
@@ -27,7 +27,7 @@
     return urllib3.request("GET", url, timeout=10).status
 
 
-def test_listener_binds_the_same_port_again_after_a_failure() -> None:
+def test_listener_restarts_on_the_same_port_after_a_failure() -> None:
     listener = make_listener()
     listener.start()
     port = listener.port
@@ -41,7 +41,7 @@
     listener.stop()
 
 
-def test_listener_names_a_port_that_is_in_use() -> None:
+def test_listener_error_names_the_port_that_is_in_use() -> None:
     first = make_listener()
     first.start()
     expected = f"callers: cannot listen on 127.0.0.1:{first.port}: "
