--- a/src/magnoliapitch/event/__init__.py
+++ b/src/magnoliapitch/event/__init__.py
@@ -1,4 +1,4 @@
-"""Structured log events: one line of key=value pairs each."""
+"""Structured log events, each written as one line of key=value pairs."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/event/definitions.py
+++ b/src/magnoliapitch/event/definitions.py
@@ -1,4 +1,8 @@
-"""Every event that magnoliapitch logs; docs/events.md lists the same."""
+"""Definitions of the events that the instances log.
+
+``job_definitions`` has those of scheduling jobs from a shared store;
+docs/events.md lists the events of both modules.
+"""
 
 from __future__ import annotations
 
@@ -9,63 +13,70 @@
 define_event(
     "backend-call-failed",
     EventLevel.ERROR,
-    "The client of backend servers raised an error; the request may have run.",
+    "The backend client raised an error; the request may have been executed.",
 )
 define_event(
     "child-failed",
     EventLevel.WARNING,
-    "A child of a supervisor could not be started.",
+    "A child could not be restarted; the attempt counts as another failure.",
 )
 define_event(
     "child-restarted",
     EventLevel.WARNING,
-    "A supervisor restarted a child that had stopped by itself.",
+    "A supervisor restarted a child that had stopped on its own.",
 )
 define_event(
     "restart-limit-reached",
     EventLevel.ERROR,
-    "A child failed too often; the process gives up and exits.",
+    "A child failed more often than allowed within the time window; the "
+    "process exits.",
 )
 define_event(
     "step-failed",
     EventLevel.ERROR,
-    "A step of a loop raised an error; the loop goes on after a pause.",
+    "A step of a loop raised an error; the supervisor restarts the loop after "
+    "a delay.",
 )
 define_event(
     "child-hung",
     EventLevel.ERROR,
-    "A loop has not begun a step for too long.",
+    "A loop has not started a step for longer than the configured limit.",
 )
 define_event(
     "stop-timed-out",
     EventLevel.WARNING,
-    "A child did not stop in time and was left behind.",
+    "A child did not stop within the timeout; its thread was abandoned.",
 )
 define_event(
     "stop-failed",
     EventLevel.ERROR,
-    "A child raised an error while it stopped; the others stop all the same.",
+    "A child raised an error while stopping; the other children are still "
+    "stopped.",
 )
 define_event(
     "listener-error",
     EventLevel.WARNING,
-    "A listener reported an error of a connection or thread of its own.",
+    "A listener reported an error of a connection or of one of its threads.",
 )
 define_event(
-    "entry-started", EventLevel.INFO, "The instance started all its parts."
+    "entry-started",
+    EventLevel.INFO,
+    "The instance started all its components.",
 )
 define_event(
     "entry-stopping",
     EventLevel.INFO,
-    "The instance was told to stop and finishes what is in flight.",
+    "The instance was told to stop and finishes the requests in flight.",
 )
 define_event(
-    "entry-stopped", EventLevel.INFO, "The instance stopped all its parts."
+    "entry-stopped",
+    EventLevel.INFO,
+    "The instance stopped all its components.",
 )
 define_event(
     "drain-started",
     EventLevel.INFO,
-    "The instance refuses new work and is no longer ready.",
+    "The instance refuses new work and reports that it is not ready.",
 )
 define_event(
     "catalogue-changed",
@@ -80,50 +91,58 @@
 define_event(
     "request-failed",
     EventLevel.ERROR,
-    "A handler raised an error; the caller was told that it may have run.",
+    "A handler raised an error; the response says that the request may have "
+    "been executed.",
 )
 define_event(
     "record-rejected",
     EventLevel.WARNING,
-    "A record that no instance wrote changed nothing: damaged or refused.",
+    "A log record that no instance wrote was rejected as damaged or invalid; "
+    "the state is unchanged.",
 )
 define_event(
     "entry-rejected",
     EventLevel.DEBUG,
-    "An instance's entry in the log changed nothing; its writer was told.",
+    "An entry that an instance wrote to the log was rejected; the state is "
+    "unchanged and the writer was informed.",
 )
 define_event(
     "fold-failed",
     EventLevel.ERROR,
-    "A handler failed on a record; every instance skips it alike.",
+    "A handler raised an error on a log record; every instance skips the "
+    "record in the same way.",
 )
 define_event(
     "snapshot-loaded",
     EventLevel.WARNING,
-    "A snapshot replaced records that had left the log unread.",
+    "A snapshot was loaded in place of records that the log had discarded "
+    "before this instance read them.",
 )
 define_event(
     "snapshot-written",
     EventLevel.INFO,
-    "A snapshot of the state was queued for the log.",
+    "A snapshot of the state was queued for appending to the log.",
 )
 define_event(
     "history-missing",
     EventLevel.ERROR,
-    "Records have left the log and no snapshot and no peer replaces them.",
+    "The log has discarded records that this instance needs, and no snapshot "
+    "or peer can replace them.",
 )
 define_event(
     "log-unavailable",
     EventLevel.WARNING,
-    "The platform's log cannot be read; the instance goes on without it.",
+    "The platform's log cannot be read; the instance continues without it.",
 )
 define_event(
-    "log-available", EventLevel.INFO, "The platform's log can be read again."
+    "log-available",
+    EventLevel.INFO,
+    "The platform's log can be read again.",
 )
 define_event(
     "instance-list-unavailable",
     EventLevel.WARNING,
-    "The list of instances cannot be read; the last known one is used.",
+    "The list of instances cannot be read; the last known list is used.",
 )
 define_event(
     "instance-list-available",
@@ -133,35 +152,39 @@
 define_event(
     "unit-claimed",
     EventLevel.INFO,
-    "The instance owns a rack from now on, with the epoch of its claim.",
+    "The instance became the owner of a rack under the given epoch.",
 )
 define_event(
     "unit-lost",
     EventLevel.INFO,
-    "The instance owns a rack no more; another one has it or may claim it.",
+    "The instance is no longer the owner of a rack; another instance has "
+    "claimed it or may do so.",
 )
 define_event(
     "member-removed",
     EventLevel.WARNING,
-    "An instance that is surely gone was removed from the members.",
+    "An instance that has certainly stopped was removed from the members.",
 )
 define_event(
     "superseded",
     EventLevel.ERROR,
-    "The log names this incarnation as gone; it must be restarted.",
+    "The log records that this incarnation of the instance has left; the "
+    "instance stops and must be restarted.",
 )
 define_event(
     "drain-timed-out",
     EventLevel.WARNING,
-    "Requests were still in flight when the time to drain had passed.",
+    "Requests were still in flight at the end of the drain timeout.",
 )
 define_event(
     "log-lines-lost",
     EventLevel.WARNING,
-    "Log lines were lost, since their reader was slow, stopped or gone.",
+    "Log lines were lost, since their reader was too slow, had stopped or had "
+    "closed the stream.",
 )
 define_event(
     "log-lines-left-out",
     EventLevel.INFO,
-    "More lines of one kind came within a second than are logged.",
+    "More lines of one kind were logged within a second than the limit "
+    "allows; the excess was omitted.",
 )
--- a/src/magnoliapitch/event/job_definitions.py
+++ b/src/magnoliapitch/event/job_definitions.py
@@ -1,4 +1,4 @@
-"""Events of the instances that schedule jobs from a shared store."""
+"""Definitions of the events of scheduling jobs from a shared store."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 define_event(
     "call-answered",
     EventLevel.INFO,
-    "A caller's submission or cancellation was stored, or the reason why not.",
+    "A submission or cancellation was stored, or failed for the given reason.",
 )
 define_event(
     "step-starting",
     EventLevel.INFO,
-    "Tasks of a step are going to be ordered, with the time since the "
-    "step's turn came.",
+    "Start orders for tasks of a step are about to be sent; gives the time "
+    "since the step became ready.",
 )
 define_event(
     "step-done",
@@ -25,7 +25,8 @@
 define_event(
     "advice-received",
     EventLevel.INFO,
-    "The advisor answered for a step, with how many workers it permits.",
+    "The advisor answered for a step with the number of workers that it "
+    "permits.",
 )
 define_event(
     "advice-failed",
@@ -35,133 +36,137 @@
 define_event(
     "advice-lane-rests",
     EventLevel.WARNING,
-    "Another instance could not ask the advisor; it is not used for "
-    "some seconds.",
+    "A call to the advisor through another instance failed; that instance is "
+    "not used for this for some seconds.",
 )
 define_event(
     "run-ended",
     EventLevel.INFO,
-    "A run ended otherwise than done, or its end was no news.",
+    "A run ended other than by completing, or its end was already known.",
 )
 define_event(
     "run-absent",
     EventLevel.WARNING,
-    "A run that was ordered is surely not going on; its task waits again.",
+    "A worker does not list a run that was ordered there, so the run is "
+    "certainly not executing; its task waits again.",
 )
 define_event(
     "start-failed",
     EventLevel.WARNING,
-    "A worker refused an order to start, or did not answer it.",
+    "A worker refused a start order or did not answer it.",
 )
 define_event(
     "stop-ordered",
     EventLevel.INFO,
-    "A worker is told to stop a run, with the reason.",
+    "A worker is ordered to stop a run, for the given reason.",
 )
 define_event(
     "worker-draining",
     EventLevel.INFO,
-    "A worker leaves soon and gets no new work.",
+    "A worker is about to leave and gets no new work.",
 )
 define_event(
     "worker-avoided",
     EventLevel.WARNING,
-    "What a worker starts fails again and again; it gets nothing for a while.",
+    "Runs on a worker failed repeatedly; it gets no work for the given pause.",
 )
 define_event(
     "settings-reloaded",
     EventLevel.INFO,
-    "SIGHUP came and the settings file was read again.",
+    "The settings file was read again after SIGHUP.",
 )
 define_event(
     "settings-rejected",
     EventLevel.ERROR,
-    "SIGHUP came and the settings file is not valid; nothing was changed.",
+    "The settings file is invalid after SIGHUP; nothing was changed.",
 )
 define_event(
     "worker-gone",
     EventLevel.WARNING,
-    "A worker's life is over; what it ran waits again.",
+    "A worker left or was replaced; the tasks it ran wait again.",
 )
 define_event(
     "worker-lease-over",
     EventLevel.WARNING,
-    "A worker was silent until its lease was surely over; what it ran "
-    "waits again.",
+    "A worker was silent until its lease had certainly expired; the tasks it "
+    "ran wait again.",
 )
 define_event(
     "worker-unreadable",
     EventLevel.WARNING,
-    "An entry in the list of workers cannot be read and names no worker.",
+    "An entry in the list of workers is invalid; it is ignored.",
 )
 define_event(
     "worker-list-unavailable",
     EventLevel.WARNING,
-    "The list of workers cannot be read; the last known one is used.",
+    "The list of workers cannot be read; the last known list is used.",
 )
 define_event(
     "configuration-applied",
     EventLevel.INFO,
-    "A newer configuration is in force on this instance.",
+    "This instance applied a newer configuration.",
 )
 define_event(
     "configuration-unreadable",
     EventLevel.ERROR,
-    "The newest configuration cannot be read; the last one stays in force.",
+    "The newest configuration cannot be decoded; the previous one stays in "
+    "force.",
 )
 define_event(
     "queue-missing",
     EventLevel.WARNING,
-    "A stored job belongs to a queue that the configuration does not "
-    "have; it waits.",
+    "A stored job names a queue that the configuration does not define; the "
+    "job waits.",
 )
 define_event(
     "store-unavailable",
     EventLevel.WARNING,
-    "A call to the store failed after one that had succeeded.",
+    "A call to the store failed after an earlier one had succeeded.",
 )
 define_event(
     "store-available",
     EventLevel.INFO,
-    "A call to the store succeeded after ones that had failed.",
+    "A call to the store succeeded after earlier ones had failed.",
 )
 define_event(
     "record-unreadable",
     EventLevel.WARNING,
-    "A stored record cannot be read and is passed over.",
+    "A stored record cannot be decoded and is skipped.",
 )
 define_event(
     "leadership-claimed",
     EventLevel.INFO,
-    "This instance decides from now on, with its epoch.",
+    "This instance became the leader under the given epoch.",
 )
 define_event(
     "leadership-claim-failed",
     EventLevel.INFO,
-    "Another instance was faster, or the store did not answer.",
+    "This instance did not become the leader: another instance claimed "
+    "leadership first, or the store did not answer.",
 )
 define_event(
     "leadership-begun",
     EventLevel.INFO,
-    "The instance that leads has read every open job.",
+    "The new leader has read every open job.",
 )
 define_event(
     "leadership-unprepared",
     EventLevel.WARNING,
-    "The instance that leads could not read the jobs yet; it tries again.",
+    "The new leader could not read the jobs yet; it tries again.",
 )
 define_event(
     "leadership-lost",
     EventLevel.WARNING,
-    "This instance decides no more, with the reason.",
+    "This instance is no longer the leader, for the given reason.",
 )
 define_event(
     "leadership-resigned",
     EventLevel.INFO,
-    "The instance stops and lets another one lead at once.",
+    "The leader stops and resigns, so that another instance can take over at "
+    "once.",
 )
 define_event(
     "leave-failed",
     EventLevel.WARNING,
-    "A stopping instance could not withdraw its address.",
+    "A stopping instance could not remove its address from the member list.",
 )
--- a/src/magnoliapitch/event/line.py
+++ b/src/magnoliapitch/event/line.py
@@ -1,4 +1,4 @@
-"""Formats an event as one line that its values cannot break."""
+"""Formats an event as a single log line, whatever values it contains."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
     from collections.abc import Mapping
 
 
-_PLAIN = re.compile(r"[A-Za-z0-9._:/@+-]+", re.ASCII)
-_DELETE = "\x7f"
+_UNQUOTED_VALUE = re.compile(r"[A-Za-z0-9._:/@+-]+", re.ASCII)
+_DELETE_CHARACTER = "\x7f"
 
 
 def format_line(fields: Mapping[str, object]) -> str:
-    """Return ``key=value`` pairs joined by spaces, without a line end."""
+    """Return ``key=value`` pairs joined by spaces, without a newline."""
     return " ".join(
         f"{key}={format_value(value)}" for key, value in fields.items()
     )
 
 
 def format_value(value: object) -> str:
-    """Return a value as it is if it is plain, else as a JSON string.
+    """Return a value unquoted if that is unambiguous, else as a JSON string.
 
-    The result holds printable ASCII only, so that no value can end the
-    line, start another pair or move the cursor of a terminal.
+    The result has printable ASCII characters only, so that no value can end
+    the line, start another pair or send control codes to a terminal.
     """
-    text = _text_of(value)
-    if _PLAIN.fullmatch(text):
+    text = _to_text(value)
+    if _UNQUOTED_VALUE.fullmatch(text):
         return text
-    return json.dumps(text).replace(_DELETE, "\\u007f")
+    return json.dumps(text).replace(_DELETE_CHARACTER, "\\u007f")
 
 
-def _text_of(value: object) -> str:
+def _to_text(value: object) -> str:
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, bytes):
--- a/src/magnoliapitch/event/log.py
+++ b/src/magnoliapitch/event/log.py
@@ -1,4 +1,4 @@
-"""Logs events through loguru."""
+"""Configures loguru and logs events with it."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
     from loguru import Message
 
-Fields = Mapping[str, object]
-Write = Callable[[Fields], None]
+EventFields = Mapping[str, object]
+FieldsWriter = Callable[[EventFields], None]
 
 
 def configure_logging(
@@ -32,31 +32,36 @@
     zone: str,
     level: EventLevel = EventLevel.INFO,
     stream: TextIO | None = None,
-    write: Write | None = None,
+    write: FieldsWriter | None = None,
 ) -> None:
-    """Write every event of this process as one line.
-
-    :param stream: where to write, standard error by default.
-    :param write: takes the fields of each line instead.
+    """Set where and from which level this process logs its events.
+
+    :param instance_id: added to every line as ``instance``.
+    :param zone: added to every line.
+    :param level: lowest level that is logged.
+    :param stream: stream that gets a line for each event; by default
+        standard error.
+    :param write: called with the fields of each event, in place of writing
+        to a stream.
     """
-    write_fields = write or _writer_to(stream or sys.stderr)
-    process = {"instance": instance_id, "zone": zone}
+    write_fields = write or _stream_writer(stream or sys.stderr)
+    process_fields = {"instance": instance_id, "zone": zone}
 
-    def take(message: Message) -> None:
+    def write_message(message: Message) -> None:
         record = message.record
-        head = {
-            "time": _time_of(message),
+        header_fields = {
+            "time": _format_time(message),
             "level": record["level"].name.lower(),
             "event": record["message"],
         }
-        write_fields({**head, **process, **record["extra"]})
+        write_fields({**header_fields, **process_fields, **record["extra"]})
 
     logger.remove()
-    logger.add(take, level=level.upper(), format="{message}")
+    logger.add(write_message, level=level.upper(), format="{message}")
 
 
-def _writer_to(stream: TextIO) -> Write:
-    def write(fields: Fields) -> None:
+def _stream_writer(stream: TextIO) -> FieldsWriter:
+    def write(fields: EventFields) -> None:
         stream.write(format_line(fields) + "\n")
         stream.flush()
 
@@ -68,8 +73,10 @@
 ) -> None:
     """Log an event at the level of its kind.
 
-    :param name: name of a registered kind; others count as warnings.
-    :param error: error whose type, text and traceback are added.
+    :param name: name of a registered kind; an unregistered name is logged
+        as a warning.
+    :param error: exception whose type, text and traceback are added.
+    :param fields: further fields of the line, by key.
     """
     kind = kinds_by_name.get(name)
     level = kind.level if kind else EventLevel.WARNING
@@ -80,10 +87,10 @@
 
 
 def request_context(request_id: str) -> AbstractContextManager[None]:
-    """Add a request's id to every event logged inside the context."""
+    """Return a context that adds a request ID to every event logged in it."""
     return logger.contextualize(request_id=request_id)
 
 
-def _time_of(message: Message) -> str:
+def _format_time(message: Message) -> str:
     time = message.record["time"].astimezone(UTC)
     return time.strftime("%Y-%m-%dT%H:%M:%S.%fZ")
--- a/src/magnoliapitch/event/registry.py
+++ b/src/magnoliapitch/event/registry.py
@@ -1,4 +1,4 @@
-"""Registry of the events that a process may log."""
+"""Registry of the kinds of events that a process can log."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EventLevel(StrEnum):
-    """Severity of an event; warnings and errors are worth an alarm."""
+    """Severity of an event; warnings and errors are alarms."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -22,7 +22,8 @@
     """A kind of event.
 
     :param name: lower-case words joined by hyphens.
-    :param meaning: what has happened, one sentence.
+    :param level: severity at which the event is logged.
+    :param meaning: one sentence that tells an operator what happened.
     """
 
     name: str
@@ -31,7 +32,7 @@
 
     @property
     def is_alarm(self) -> bool:
-        """Whether an operator should be told."""
+        """Whether the event should alert an operator."""
         return self.level in ALARM_LEVELS
 
 
@@ -41,10 +42,10 @@
 def define_event(name: str, level: EventLevel, meaning: str) -> EventKind:
     """Register a kind of event.
 
-    :raises ValueError: if the name is taken.
+    :raises ValueError: if the name is already registered.
     """
     if name in kinds_by_name:
-        raise ValueError(f"event {name!r} is defined twice")
+        raise ValueError(f"event {name!r} is already registered")
     kind = EventKind(name, level, meaning)
     kinds_by_name[name] = kind
     return kind
--- a/tests/backend/test_http_client.py
+++ b/tests/backend/test_http_client.py
@@ -194,8 +194,8 @@
         )
     )
     response = _send(client, server).unwrap()
-    assert (answer.status, answer.leaving) == (500, True)
-    assert answer.content_type == "a/b"
+    assert (response.status, response.leaving) == (500, True)
+    assert response.content_type == "a/b"
 
 
 def test_client_reports_not_run_for_a_refused_connection(
--- a/tests/event/test_line.py
+++ b/tests/event/test_line.py
@@ -14,12 +14,12 @@
 
 
 PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|[^\s"=]+)')
-HOSTILE = st.text() | st.sampled_from(
+UNSAFE_VALUES = st.text() | st.sampled_from(
     ["", " ", "a=b", '"', "\\", "x\nevent=y", "\u2028", "\x7f", "\udc80"]
 )
 
 
-def read_line(line: str) -> dict[str, str]:
+def parse_line(line: str) -> dict[str, str]:
     pairs = line.split("\n")[0]
     values = {}
     position = 0
@@ -35,17 +35,17 @@
 
 
 @settings(derandomize=True, max_examples=300, database=None)
-@given(st.dictionaries(st.sampled_from(["a", "b", "c"]), HOSTILE, min_size=1))
-def test_line_gives_back_any_value_and_nothing_else(
+@given(st.dictionaries(st.sampled_from(["a", "b", "c"]), UNSAFE_VALUES, min_size=1))
+def test_line_can_be_parsed_back_for_any_values(
     fields: dict[str, str],
 ) -> None:
     line = format_line(fields)
     assert line.isascii()
     assert line.isprintable()
-    assert read_line(line) == fields
+    assert parse_line(line) == fields
 
 
-def test_log_writes_one_line_with_the_error_inside() -> None:
+def test_log_writes_an_error_into_a_single_line() -> None:
     stream = io.StringIO()
     configure_logging("entry-1", "xela-norte", stream=stream)
     try:
@@ -54,7 +54,7 @@
         log_event("step-failed", loop="jobs", error=error, body=b"\xff\n")
     lines = stream.getvalue().splitlines()
     assert len(lines) == 1
-    fields = read_line(lines[0])
+    fields = parse_line(lines[0])
     assert list(fields)[:5] == ["time", "level", "event", "instance", "zone"]
     assert fields["event"] == "step-failed"
     assert fields["level"] == "error"
--- a/tests/event/test_rate_limit.py
+++ b/tests/event/test_rate_limit.py
@@ -19,14 +19,14 @@
 
 
 class Log:
-    """Events that pass a limit, and what the limit itself logs."""
+    """Lines that a rate limit admits, and events that it logs itself."""
 
     def __init__(self) -> None:
         self.now_s = 0
         self.lines: list[Mapping[str, Any]] = []
         self._limit = LineRateLimit(lambda: self.now_s, MAX_LINES)
 
-    def take(self, event: str, level: str = "info", **fields: object) -> None:
+    def log_line(self, event: str, level: str = "info", **fields: object) -> None:
         line = {"event": event, "level": level, **fields}
         if self._limit.admits(line):
             self.lines.append(line)
@@ -43,29 +43,29 @@
     configure_logging("none", "none", stream=io.StringIO())
 
 
-def test_lines_beyond_the_limit_are_counted_and_told(log: Log) -> None:
+def test_number_of_lines_beyond_the_limit_is_logged(log: Log) -> None:
     for number in range(25):
-        log.take("step-done", number=number)
+        log.log_line("step-done", number=number)
     assert log.count("step-done") == MAX_LINES
     log.now_s += 1
-    log.take("step-done", number=25)
-    told = [x for x in log.lines if x["event"] == "log-lines-left-out"]
-    assert [(x["kind"], x["count"]) for x in told] == [("step-done", 15)]
+    log.log_line("step-done", number=25)
+    omitted = [x for x in log.lines if x["event"] == "log-lines-left-out"]
+    assert [(x["kind"], x["count"]) for x in omitted] == [("step-done", 15)]
     assert log.lines[-1]["number"] == 25
 
 
-def test_the_first_line_of_a_kind_is_written_beside_many_others(
+def test_each_kind_of_line_has_a_limit_of_its_own(
     log: Log,
 ) -> None:
     for number in range(1_000):
-        log.take("step-done", number=number)
-    log.take("step-starting")
+        log.log_line("step-done", number=number)
+    log.log_line("step-starting")
     assert log.count("step-starting") == 1
 
 
-def test_warnings_and_reasons_are_always_written(log: Log) -> None:
+def test_warnings_and_lines_with_a_reason_are_always_admitted(log: Log) -> None:
     for number in range(40):
-        log.take("start-failed", "warning", number=number)
-        log.take("call-answered", number=number, reason="no room")
+        log.log_line("start-failed", "warning", number=number)
+        log.log_line("call-answered", number=number, reason="no room")
     assert log.count("start-failed") == 40
     assert log.count("call-answered") == 40
--- a/tests/event/test_writer.py
+++ b/tests/event/test_writer.py
@@ -19,26 +19,26 @@
     from collections.abc import Iterator
     from typing import TextIO
 
-# More than a pipe and the queue hold.
-MANY_LINES = 3_000
-QUEUE_LINES = 200
-# What a caller may notice of a stopped reader, for all lines together.
-CALLER_MAX_S = 2.0
-READ_MAX_S = 10.0
+# More lines than the pipe and the queue can hold.
+LINE_COUNT = 3_000
+QUEUE_MAX_LINES = 200
+# Longest total time that logging all lines may take with a stopped reader.
+MAX_LOGGING_S = 2.0
+READ_TIMEOUT_S = 10.0
 
 
 class Pipe:
-    """A pipe whose reader reads only when told."""
+    """A pipe that is read only on request."""
 
     def __init__(self) -> None:
         read_end, write_end = os.pipe()
         self.reader: TextIO = os.fdopen(read_end)
         self.writer: TextIO = os.fdopen(write_end, "w")
 
-    def read_all(self, count: int) -> tuple[list[int], int]:
-        """Read until so many lines were read or told as lost.
+    def read_lines(self, count: int) -> tuple[list[int], int]:
+        """Read until ``count`` lines were read or reported as lost.
 
-        :return: numbers of the lines, and how many were told as lost.
+        :return: numbers of the lines, and how many were reported as lost.
         """
         numbers: list[int] = []
         lost: list[int] = []
@@ -53,7 +53,7 @@
 
         thread = threading.Thread(target=read, daemon=True)
         thread.start()
-        thread.join(READ_MAX_S)
+        thread.join(READ_TIMEOUT_S)
         return numbers, sum(lost)
 
 
@@ -66,35 +66,35 @@
         pipe.reader.close()
 
 
-def log_many(count: int = MANY_LINES) -> float:
-    """Log lines and return how long the caller was held up, in seconds."""
+def log_lines(count: int = LINE_COUNT) -> float:
+    """Log lines and return the time that it took, in seconds."""
     started_s = time.monotonic()
     for number in range(count):
         log_event("step-done", number=number, text="x" * 100)
     return time.monotonic() - started_s
 
 
-def start(pipe: Pipe) -> LineWriter:
-    limit = LineRateLimit(max_lines=2 * MANY_LINES)
-    writer = LineWriter(pipe.writer, QUEUE_LINES, limit)
+def start_writer(pipe: Pipe) -> LineWriter:
+    limit = LineRateLimit(max_lines=2 * LINE_COUNT)
+    writer = LineWriter(pipe.writer, QUEUE_MAX_LINES, limit)
     configure_logging("entry-1", "az", write=writer.write)
     return writer
 
 
-def test_a_stopped_reader_holds_nobody_up_and_learns_what_it_missed(
+def test_stopped_reader_blocks_no_caller_and_gets_the_lost_count(
     pipe: Pipe,
 ) -> None:
-    writer = start(pipe)
-    assert log_many() < CALLER_MAX_S
+    writer = start_writer(pipe)
+    assert log_lines() < MAX_LOGGING_S
     assert writer.lost > 0
-    numbers, lost = pipe.read_all(MANY_LINES)
+    numbers, lost = pipe.read_lines(LINE_COUNT)
     assert numbers[0] == 0
     assert numbers == sorted(set(numbers))
-    assert len(numbers) + lost == MANY_LINES
+    assert len(numbers) + lost == LINE_COUNT
 
 
-def test_a_slow_reader_gets_whole_lines_in_order(pipe: Pipe) -> None:
-    writer = start(pipe)
+def test_slow_reader_gets_complete_lines_in_order(pipe: Pipe) -> None:
+    writer = start_writer(pipe)
     numbers: list[int] = []
 
     def read() -> None:
@@ -105,7 +105,7 @@
 
     thread = threading.Thread(target=read, daemon=True)
     thread.start()
-    assert log_many() < CALLER_MAX_S
+    assert log_lines() < MAX_LOGGING_S
     writer.close()
     pipe.writer.close()
     thread.join()
@@ -113,16 +113,16 @@
     assert numbers == sorted(set(numbers))
 
 
-def test_a_reader_that_is_gone_harms_nothing(pipe: Pipe) -> None:
-    writer = start(pipe)
+def test_closed_reader_blocks_no_caller(pipe: Pipe) -> None:
+    writer = start_writer(pipe)
     pipe.reader.close()
-    assert log_many(500) < CALLER_MAX_S
+    assert log_lines(500) < MAX_LOGGING_S
     writer.close()
     assert writer.lost > 0
 
 
-def test_the_last_lines_are_written_at_the_end(pipe: Pipe) -> None:
-    writer = start(pipe)
+def test_close_waits_for_the_last_lines(pipe: Pipe) -> None:
+    writer = start_writer(pipe)
     log_event("step-done", number=1)
     writer.close()
     assert "number=1" in pipe.reader.readline()
