--- a/src/magnoliapitch/api/admin.py
+++ b/src/magnoliapitch/api/admin.py
@@ -71,7 +71,7 @@
     @application.route("GET", "/v1/health")
     def health(request: HttpRequest) -> HttpResponse:  # noqa: ARG001
         alive = not node.supervisor.has_given_up
-        body = {"alive": alive, "hung": node.supervisor.hung()}
+        body = {"alive": alive, "hung": node.supervisor.hung_children()}
         return json_response(body, 200 if alive else 503)
 
     @application.route("GET", "/v1/ready")
--- a/src/magnoliapitch/metric/__init__.py
+++ b/src/magnoliapitch/metric/__init__.py
@@ -1,4 +1,4 @@
-"""Counters, waiting times and the cost of the process itself."""
+"""Counters, timers and the resource usage of the process."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/metric/metrics.py
+++ b/src/magnoliapitch/metric/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one instance."""
+"""Counters and timers of one instance."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Metrics:
-    """Counters and timers by name and label.
+    """Counters and timers by name and label; thread-safe.
 
-    Timers are named after what is timed, without a unit; a label tells
-    apart the members of a small fixed set, such as the classes of work.
+    Timers are named after what is timed, without a unit. A label
+    distinguishes the members of a small fixed set, such as work classes.
     """
 
     def __init__(self) -> None:
@@ -30,20 +30,20 @@
         self._timers_by_key: dict[tuple[str, str], Timer] = {}
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter by an amount."""
         with self._lock:
             key = (name, label)
             self._counts_by_key[key] = self._counts_by_key.get(key, 0) + amount
 
     def observe(self, name: str, duration_ms: float, label: str = "") -> None:
-        """Record a duration in milliseconds."""
+        """Record a duration, in milliseconds, in a timer."""
         with self._lock:
             timer = self._timers_by_key.setdefault((name, label), Timer())
         timer.record(duration_ms)
 
     @contextmanager
     def timing(self, name: str, label: str = "") -> Iterator[None]:
-        """Record how long the body of the context takes."""
+        """Return a context whose duration is recorded in a timer."""
         started_ns = time.perf_counter_ns()
         try:
             yield
@@ -63,18 +63,18 @@
         return {key: timer.summary() for key, timer in timers.items()}
 
     def dump(self) -> dict[str, object]:
-        """Return the metrics' part of the state dump."""
+        """Return all counters and timers for the state dump."""
         return {
             "counts": {
-                _joined(key): count for key, count in self.counts().items()
+                _dump_key(key): count for key, count in self.counts().items()
             },
             "timers": {
-                _joined(key): summary._asdict()
+                _dump_key(key): summary._asdict()
                 for key, summary in self.timers().items()
             },
         }
 
 
-def _joined(key: tuple[str, str]) -> str:
+def _dump_key(key: tuple[str, str]) -> str:
     name, label = key
     return f"{name}.{label}" if label else name
--- a/src/magnoliapitch/metric/prometheus.py
+++ b/src/magnoliapitch/metric/prometheus.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text format."""
+"""Formats metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -11,38 +11,42 @@
 
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-PREFIX = "magnoliapitch"
+METRIC_PREFIX = "magnoliapitch"
 
 
-def prometheus_text(metrics: Metrics, cost: ProcessUsage) -> str:
-    """Return every metric as lines of ``name{label="..."} value``."""
+def prometheus_text(metrics: Metrics, usage: ProcessUsage) -> str:
+    """Return every metric as a line ``name{label="..."} value``.
+
+    :param metrics: counters and timers.
+    :param usage: resource usage of the process.
+    """
     lines = [
-        f"{PREFIX}_{name}_total{_labels(label)} {count}"
+        f"{METRIC_PREFIX}_{name}_total{_format_labels(label)} {count}"
         for (name, label), count in sorted(metrics.counts().items())
     ]
     for (name, label), summary in sorted(metrics.timers().items()):
-        base = f"{PREFIX}_{name}_ms"
+        metric_name = f"{METRIC_PREFIX}_{name}_ms"
         lines += [
-            f"{base}{_labels(label, '0.5')} {summary.p50_ms}",
-            f"{base}{_labels(label, '0.99')} {summary.p99_ms}",
-            f"{base}_count{_labels(label)} {summary.samples}",
+            f"{metric_name}{_format_labels(label, '0.5')} {summary.p50_ms}",
+            f"{metric_name}{_format_labels(label, '0.99')} {summary.p99_ms}",
+            f"{metric_name}_count{_format_labels(label)} {summary.samples}",
         ]
     lines += [
-        f"{PREFIX}_process_{name} {value}"
-        for name, value in cost._asdict().items()
+        f"{METRIC_PREFIX}_process_{name} {value}"
+        for name, value in usage._asdict().items()
     ]
     return "\n".join(lines) + "\n"
 
 
-def _labels(label: str, quantile: str = "") -> str:
+def _format_labels(label: str, quantile: str = "") -> str:
     pairs = []
     if label:
-        pairs.append(f'label="{_escape(label)}"')
+        pairs.append(f'label="{_escape_label(label)}"')
     if quantile:
         pairs.append(f'quantile="{quantile}"')
     return "{" + ",".join(pairs) + "}" if pairs else ""
 
 
-def _escape(label: str) -> str:
+def _escape_label(label: str) -> str:
     escaped = label.replace("\\", "\\\\").replace('"', '\\"')
     return escaped.replace("\n", "\\n")
--- a/src/magnoliapitch/metric/timer.py
+++ b/src/magnoliapitch/metric/timer.py
@@ -1,4 +1,4 @@
-"""Durations kept in a histogram."""
+"""Timer that records durations in a histogram."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 from hdrh.histogram import HdrHistogram
 
 
-HIGHEST_US = 3_600_000_000
+MAX_DURATION_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
 
 
 class TimerSummary(NamedTuple):
-    """Durations recorded so far, in milliseconds."""
+    """Summary of the durations recorded so far, in milliseconds.
+
+    :param samples: number of recorded durations.
+    """
 
     samples: int
     p50_ms: float
@@ -24,23 +27,24 @@
 
 
 class Timer:
-    """Records durations; safe to use from several threads."""
+    """Records durations; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._histogram: Any = HdrHistogram(1, HIGHEST_US, SIGNIFICANT_DIGITS)
+        self._histogram: Any = HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
 
     def record(self, duration_ms: float) -> None:
-        """Record one duration, from 1 microsecond to 1 hour.
+        """Record a duration.
 
-        :param duration_ms: milliseconds; what is outside is clipped.
+        :param duration_ms: milliseconds, clipped to the range from
+            1 microsecond to 1 hour.
         """
-        duration_us = min(max(round(duration_ms * 1_000), 1), HIGHEST_US)
+        duration_us = min(max(round(duration_ms * 1_000), 1), MAX_DURATION_US)
         with self._lock:
             self._histogram.record_value(duration_us)
 
     def summary(self) -> TimerSummary:
-        """Return count, median, 99th percentile and maximum."""
+        """Return count, median, 99th percentile and maximum; 0 if empty."""
         with self._lock:
             count = int(self._histogram.get_total_count())
             if not count:
--- a/src/magnoliapitch/supervisor/__init__.py
+++ b/src/magnoliapitch/supervisor/__init__.py
@@ -1,4 +1,4 @@
-"""Supervisors that start, watch, restart and stop their children."""
+"""Supervisors that start, monitor, restart and stop their children."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/supervisor/child.py
+++ b/src/magnoliapitch/supervisor/child.py
@@ -1,4 +1,4 @@
-"""What a supervisor can supervise."""
+"""Interfaces of the children of a supervisor."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 
 
 class Child(Protocol):
-    """A part of a process with a life of its own."""
+    """A component of the process that a supervisor starts and stops."""
 
     @property
     def name(self) -> str:
-        """Unique name among its siblings."""
+        """Name, unique among the children of the same supervisor."""
 
     def start(self) -> None:
-        """Start; called again after a failure.
+        """Start the child; called again to restart it after a failure.
 
-        :raises StartError: if it cannot be started.
+        :raises StartError: if the child cannot be started.
         """
 
     def stop(self) -> None:
-        """Stop and return when stopped; without effect if not running."""
+        """Stop the child and wait for it; no effect if it is not running."""
 
     def is_alive(self) -> bool:
-        """Return whether the child runs."""
+        """Return whether the child is running."""
 
 
 @runtime_checkable
 class HasHeartbeat(Protocol):
-    """A child that shows its progress."""
+    """A child that reports when it last made progress."""
 
     def heartbeat_age_ms(self) -> int:
-        """Return the time since it last began a step, in milliseconds."""
+        """Return the time since its last step began, in milliseconds."""
 
 
 @runtime_checkable
 class HasStateDump(Protocol):
-    """A child with state of its own to show."""
+    """A child that contributes to the state dump."""
 
     def dump(self) -> dict[str, object]:
-        """Return its part of the state dump."""
+        """Return the state of the child for the state dump."""
--- a/src/magnoliapitch/supervisor/exceptions.py
+++ b/src/magnoliapitch/supervisor/exceptions.py
@@ -4,10 +4,10 @@
 
 
 class StartError(RuntimeError):
-    """A child that cannot be started.
+    """Raised if a child cannot be started.
 
     :param child: name of the child.
-    :param reason: what prevents it, for an operator.
+    :param reason: why it cannot be started, for an operator.
     """
 
     def __init__(self, child: str, reason: str) -> None:
--- a/src/magnoliapitch/supervisor/loop.py
+++ b/src/magnoliapitch/supervisor/loop.py
@@ -1,4 +1,4 @@
-"""A thread that calls a step again and again."""
+"""Supervised thread that calls a function repeatedly."""
 
 from __future__ import annotations
 
@@ -16,14 +16,20 @@
 
 Step = Callable[[], int]
 
-STOP_TIMEOUT_MS = 10_000
+DEFAULT_STOP_TIMEOUT_MS = 10_000
 
 
 class Loop:
-    """Calls ``step``, which returns the milliseconds until the next call.
+    """Calls ``step`` repeatedly in a thread.
 
-    A step that raises ends the thread; what the step works on is kept, so
-    that a restart goes on from there.
+    A step that raises an error ends the thread. The loop keeps no state
+    between steps, so that a restart continues with the state that the
+    failed step left.
+
+    :param name: name of the thread, and of the child in logs.
+    :param step: called repeatedly; returns the milliseconds to wait before
+        the next call.
+    :param stop_timeout_ms: longest wait for the current step on stop.
     """
 
     def __init__(
@@ -31,34 +37,35 @@
         name: str,
         step: Step,
         clock: Clock,
-        stop_timeout_ms: int = STOP_TIMEOUT_MS,
+        stop_timeout_ms: int = DEFAULT_STOP_TIMEOUT_MS,
     ) -> None:
         self.name = name
         self._step = step
         self._clock = clock
         self._stop_timeout_ms = stop_timeout_ms
-        self._stopping = threading.Event()
+        self._stop_event = threading.Event()
         self._thread: threading.Thread | None = None
-        self._beat_ms = clock.now_ms()
+        self._step_started_ms = clock.now_ms()
 
     def start(self) -> None:
         """Start the thread."""
-        self._stopping = threading.Event()
-        self._beat_ms = self._clock.now_ms()
+        self._stop_event = threading.Event()
+        self._step_started_ms = self._clock.now_ms()
         self._thread = threading.Thread(
             target=self._run,
-            args=(self._stopping,),
+            args=(self._stop_event,),
             name=self.name,
             daemon=True,
         )
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop after the current step, which may be the caller's own.
+        """Stop after the current step; may be called by the step itself.
 
-        A step that does not end in time is left behind and logged.
+        If the step does not end within the timeout, this is logged and the
+        thread is abandoned.
         """
-        self._stopping.set()
+        self._stop_event.set()
         thread = self._thread
         if thread is None or thread is threading.current_thread():
             return
@@ -67,18 +74,18 @@
             log_event("stop-timed-out", child=self.name)
 
     def is_alive(self) -> bool:
-        """Return whether the thread runs."""
+        """Return whether the thread is running."""
         return self._thread is not None and self._thread.is_alive()
 
     def heartbeat_age_ms(self) -> int:
         """Return the time since the last step began, in milliseconds."""
-        return self._clock.now_ms() - self._beat_ms
+        return self._clock.now_ms() - self._step_started_ms
 
-    def _run(self, stopping: threading.Event) -> None:
+    def _run(self, stop_event: threading.Event) -> None:
         try:
-            while not stopping.is_set():
-                self._beat_ms = self._clock.now_ms()
+            while not stop_event.is_set():
+                self._step_started_ms = self._clock.now_ms()
                 wait_ms = self._step()
-                self._clock.wait(stopping, wait_ms)
+                self._clock.wait(stop_event, wait_ms)
         except Exception as error:
             log_event("step-failed", loop=self.name, error=error)
--- a/src/magnoliapitch/supervisor/supervisor.py
+++ b/src/magnoliapitch/supervisor/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts children in order, restarts failed ones, stops in reverse."""
+"""Supervisor that starts, monitors, restarts and stops its children."""
 
 from __future__ import annotations
 
@@ -24,10 +24,16 @@
 
 
 class Supervisor:
-    """A child that supervises other children.
+    """Starts children in order, restarts failed ones and stops all.
 
-    :param give_up: called once when a child fails too often; the process
-        should then exit, so that the platform replaces it.
+    Children are stopped in reverse order. A supervisor is a child itself,
+    so that supervisors can be nested.
+
+    :param children: children in the order in which they are started.
+    :param policy: limits and delays of restarts.
+    :param give_up: called once when a child exceeds the restart limit; the
+        process should then exit, so that the platform replaces it.
+    :ivar has_given_up: whether a child exceeded the restart limit.
     """
 
     def __init__(
@@ -43,8 +49,8 @@
         self._children = children
         self._clock = clock
         self._policy = policy or RestartPolicy()
-        self._give_up = give_up or _ignore
-        self._stopping = threading.Event()
+        self._give_up = give_up or _do_nothing
+        self._stop_event = threading.Event()
         self._thread: threading.Thread | None = None
         self._started: list[Child] = []
         self._records_by_child = {
@@ -52,12 +58,12 @@
         }
 
     def start(self) -> None:
-        """Start every child, then watch them.
+        """Start every child, then monitor them in a new thread.
 
-        :raises StartError: if a child cannot be started; those started
-            before it are stopped again.
+        :raises StartError: if a child cannot be started; children that
+            were started before it are stopped again.
         """
-        self._stopping = threading.Event()
+        self._stop_event = threading.Event()
         try:
             for child in self._children:
                 child.start()
@@ -66,54 +72,54 @@
             self._stop_children()
             raise
         self._thread = threading.Thread(
-            target=self._watch, name=f"{self.name}-watch", daemon=True
+            target=self._monitor, name=f"{self.name}-watch", daemon=True
         )
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop watching, then stop the children in reverse order."""
-        self._stopping.set()
+        """Stop monitoring, then stop the children in reverse order."""
+        self._stop_event.set()
         thread = self._thread
         if thread is not None and thread is not threading.current_thread():
             thread.join()
         self._stop_children()
 
     def is_alive(self) -> bool:
-        """Return whether the supervisor watches its children."""
+        """Return whether the supervisor is monitoring its children."""
         return self._thread is not None and self._thread.is_alive()
 
-    def check(self) -> None:
-        """Restart children that have failed, and notice hung ones."""
+    def check_children(self) -> None:
+        """Restart failed children that are due, and detect hung ones."""
         for child in self._children:
             if self.has_given_up:
                 return
             record = self._records_by_child[child.name]
             if child.is_alive():
                 self._check_heartbeat(child, record)
-            elif record.due_ms is None:
-                self._note_failure(child, record)
-            elif record.due_ms <= self._clock.now_ms():
+            elif record.restart_due_ms is None:
+                self._record_failure(child, record)
+            elif record.restart_due_ms <= self._clock.now_ms():
                 self._restart(child, record)
 
-    def hung(self) -> tuple[str, ...]:
-        """Return the names of children without progress, at any depth."""
+    def hung_children(self) -> tuple[str, ...]:
+        """Return the names of hung children, including nested ones."""
         names: list[str] = []
         for child in self._children:
             if isinstance(child, Supervisor):
-                names += child.hung()
+                names += child.hung_children()
             elif self._records_by_child[child.name].is_hung:
                 names.append(child.name)
         return tuple(names)
 
     def dump(self) -> dict[str, object]:
-        """Return the state of every child."""
+        """Return the state of every child by name."""
         return {
             child.name: self._dump_child(child) for child in self._children
         }
 
-    def _watch(self) -> None:
-        while not self._clock.wait(self._stopping, CHECK_INTERVAL_MS):
-            self.check()
+    def _monitor(self) -> None:
+        while not self._clock.wait(self._stop_event, CHECK_INTERVAL_MS):
+            self.check_children()
 
     def _check_heartbeat(self, child: Child, record: RestartRecord) -> None:
         if not isinstance(child, HasHeartbeat):
@@ -124,14 +130,14 @@
             log_event("child-hung", child=child.name, age_ms=age_ms)
         record.is_hung = is_hung
 
-    def _note_failure(self, child: Child, record: RestartRecord) -> None:
-        if record.fail(self._clock.now_ms()):
+    def _record_failure(self, child: Child, record: RestartRecord) -> None:
+        if record.record_failure(self._clock.now_ms()):
             return
         self.has_given_up = True
         log_event(
             "restart-limit-reached",
             child=child.name,
-            limit=self._policy.limit,
+            limit=self._policy.max_restarts,
             window_ms=self._policy.window_ms,
         )
         self._give_up()
@@ -141,10 +147,12 @@
             child.start()
         except Exception as error:
             log_event("child-failed", child=child.name, error=error)
-            record.due_ms = None
+            record.restart_due_ms = None
             return
-        record.restarted()
-        log_event("child-restarted", child=child.name, count=record.total)
+        record.record_restart()
+        log_event(
+            "child-restarted", child=child.name, count=record.restart_count
+        )
 
     def _stop_children(self) -> None:
         while self._started:
@@ -158,7 +166,7 @@
         record = self._records_by_child[child.name]
         dump: dict[str, object] = {
             "alive": child.is_alive(),
-            "restarts": record.total,
+            "restarts": record.restart_count,
         }
         if isinstance(child, HasHeartbeat):
             dump["heartbeat_age_ms"] = child.heartbeat_age_ms()
@@ -168,5 +176,5 @@
         return dump
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     """Do nothing."""
--- a/tests/metric/test_metrics.py
+++ b/tests/metric/test_metrics.py
@@ -10,7 +10,7 @@
 PAYLOAD = b"x" * 50_000
 
 
-def test_metrics_summarise_durations_within_two_digits() -> None:
+def test_timer_summary_is_accurate_to_two_digits() -> None:
     metrics = Metrics()
     for duration_ms in range(1, 1_001):
         metrics.observe("wait", duration_ms, "urgent")
@@ -21,7 +21,7 @@
     assert abs(summary.max_ms - 1_000) <= 10
 
 
-def test_metrics_are_exported_as_text() -> None:
+def test_metrics_are_exported_in_prometheus_format() -> None:
     metrics = Metrics()
     metrics.count("requests", 'a"b\n', 3)
     metrics.observe("wait", 2.0)
@@ -32,21 +32,21 @@
     assert "magnoliapitch_process_cpu_s" in names
 
 
-def test_cost_counts_bytes_of_connections_also_after_their_end() -> None:
+def test_usage_includes_bytes_of_closed_connections() -> None:
     meter = ProcessUsageMeter()
     with socket.create_server(("127.0.0.1", 0)) as server:
         client = socket.create_connection(server.getsockname())
         before = meter.read()
         with server.accept()[0] as accepted:
             client.sendall(PAYLOAD)
-            read = 0
-            while read < len(PAYLOAD):
-                read += len(accepted.recv(65_536))
+            received_bytes = 0
+            while received_bytes < len(PAYLOAD):
+                received_bytes += len(accepted.recv(65_536))
             during = meter.read()
         client.close()
     after = meter.read()
-    grown = during.received_bytes - before.received_bytes
-    assert grown >= len(PAYLOAD)
+    increase_bytes = during.received_bytes - before.received_bytes
+    assert increase_bytes >= len(PAYLOAD)
     assert after.received_bytes >= during.received_bytes
     assert during.memory_bytes > 1_000_000
     assert during.cpu_s > 0
