--- a/src/magnoliapitch/__init__.py
+++ b/src/magnoliapitch/__init__.py
@@ -1,4 +1,4 @@
-"""Cluster scheduler for unlike workloads that share the same instances."""
+"""Cluster scheduler for different kinds of work on shared instances."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/__main__.py
+++ b/src/magnoliapitch/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m magnoliapitch``."""
+"""Entry point of ``python -m magnoliapitch``."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/catalogue/file.py
+++ b/src/magnoliapitch/catalogue/file.py
@@ -54,7 +54,7 @@
         location = problem.partition(":")[0]
         parent, _, key = location.rpartition(".")
         table = f"{TABLE}.{parent}" if parent else TABLE
-        lines.append(f"{file.where(table, key, number)}: {problem}")
+        lines.append(f"{file.locate(table, key, number)}: {problem}")
     return lines
 
 
--- a/src/magnoliapitch/clock.py
+++ b/src/magnoliapitch/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic clocks, real and manual."""
+"""Monotonic clocks of the operating system, and a manual one for tests."""
 
 from __future__ import annotations
 
@@ -16,10 +16,13 @@
 
 
 class Clock(Protocol):
-    """A monotonic clock; wall-clock time is never used for decisions."""
+    """A monotonic clock.
+
+    Decisions use such a clock, since wall-clock time can be adjusted.
+    """
 
     def now_ms(self) -> int:
-        """Return milliseconds since an arbitrary fixed origin."""
+        """Return the milliseconds since an arbitrary fixed point in time."""
 
     def wait(self, event: threading.Event, timeout_ms: int) -> bool:
         """Wait for an event for at most ``timeout_ms`` milliseconds.
@@ -32,7 +35,7 @@
     """The operating system's monotonic clock."""
 
     def now_ms(self) -> int:
-        """Return the monotonic time in milliseconds."""
+        """Return the time of the clock, in milliseconds."""
         return time.monotonic_ns() // 1_000_000
 
     def wait(self, event: threading.Event, timeout_ms: int) -> bool:
@@ -41,38 +44,43 @@
 
 
 class BootClock(MonotonicClock):
-    """A monotonic clock that goes on while the machine is suspended.
+    """A monotonic clock that keeps running while the machine is suspended.
 
-    Leases are measured by it: after a suspension they must be over.
+    Leases are timed with it, so that they expire during a suspension.
     """
 
     def now_ms(self) -> int:
-        """Return the time since the machine started in milliseconds."""
+        """Return the time since the machine started, in milliseconds."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
 
 class ManualClock:
-    """A clock that moves only when told to, for deterministic runs."""
+    """A clock that is advanced explicitly, for deterministic runs.
+
+    :param now_ms: initial time in milliseconds.
+    """
 
     def __init__(self, now_ms: int = 0) -> None:
         self._now_ms = now_ms
 
     def now_ms(self) -> int:
-        """Return the current manual time in milliseconds."""
+        """Return the time to which the clock was advanced."""
         return self._now_ms
 
     def advance(self, duration_ms: int) -> None:
-        """Move the clock forward.
+        """Advance the clock.
 
         :param duration_ms: milliseconds, not negative.
         :raises ValueError: if the duration is negative.
         """
         if duration_ms < 0:
-            raise ValueError("a monotonic clock cannot go back")
+            raise ValueError(
+                f"duration_ms must not be negative, found {duration_ms}"
+            )
         self._now_ms += duration_ms
 
     def wait(self, event: threading.Event, timeout_ms: int) -> bool:
-        """Advance by the timeout unless the event is already set."""
+        """Advance the clock by the timeout unless the event is set."""
         if event.is_set():
             return True
         self.advance(timeout_ms)
--- a/src/magnoliapitch/json_value.py
+++ b/src/magnoliapitch/json_value.py
@@ -1,4 +1,4 @@
-"""Named tuples as plain objects, for JSON with named fields."""
+"""Converts named tuples to values that are encoded as JSON objects."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def to_json_value(value: Any) -> Any:
-    """Turn named tuples into dictionaries and tuples into lists.
+    """Convert named tuples to dictionaries and other tuples to lists.
 
-    Fields keep their names in JSON, so that a later version can add some.
+    JSON then has the names of the fields, so that later versions can add
+    fields.
     """
     if isinstance(value, tuple):
         fields = getattr(value, "_fields", None)
--- a/src/magnoliapitch/settings/problem.py
+++ b/src/magnoliapitch/settings/problem.py
@@ -32,4 +32,4 @@
     variable = "" if section else source.variables_by_key.get(key, "")
     if variable:
         return f"environment variable {variable}: {text}"
-    return f"{source.file.where(section, key)}: {text}"
+    return f"{source.file.locate(section, key)}: {text}"
--- a/src/magnoliapitch/verdict.py
+++ b/src/magnoliapitch/verdict.py
@@ -1,4 +1,4 @@
-"""Verdicts: whether a request that failed may have run."""
+"""Failures, with a verdict on whether the work may have been executed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 class Verdict(StrEnum):
-    """Whether the work behind a request was executed."""
+    """Whether the work of a request was executed.
+
+    ``NOT_RUN`` means certainly not, so that a retry is safe;
+    ``MAY_HAVE_RUN`` means unknown; ``RAN`` means certainly executed.
+    """
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -18,7 +22,7 @@
 
 
 class FailureCode(StrEnum):
-    """Stable machine-readable reasons for a failure."""
+    """Machine-readable reason for a failure; values must stay stable."""
 
     INVALID = "invalid"
     NOT_FOUND = "not-found"
@@ -47,12 +51,13 @@
 
 
 class Failure(NamedTuple):
-    """An outcome other than a result.
+    """Failure of a request or call.
 
     :param verdict: whether the work was executed.
-    :param code: stable machine-readable reason.
-    :param detail: explanation for a person.
-    :param retry_after_ms: when a retry may succeed, in milliseconds.
+    :param code: machine-readable reason.
+    :param detail: explanation for people.
+    :param retry_after_ms: delay after which a retry may succeed, in
+        milliseconds, if known.
     """
 
     verdict: Verdict
@@ -64,12 +69,12 @@
 def not_run(
     code: FailureCode, detail: str, retry_after_ms: int | None = None
 ) -> Failure:
-    """Return a failure of work that was certainly not executed."""
+    """Create a failure of work that was certainly not executed."""
     return Failure(Verdict.NOT_RUN, code, detail, retry_after_ms)
 
 
 def may_have_run(
     code: FailureCode, detail: str, retry_after_ms: int | None = None
 ) -> Failure:
-    """Return a failure of work that may have been executed."""
+    """Create a failure of work that may have been executed."""
     return Failure(Verdict.MAY_HAVE_RUN, code, detail, retry_after_ms)
