--- a/src/magnoliapitch/backend/http_client.py
+++ b/src/magnoliapitch/backend/http_client.py
@@ -207,7 +207,9 @@
         )
 
 
-def _make_connection_pool(url: str, maxsize: int) -> urllib3.HTTPConnectionPool:
+def _make_connection_pool(
+    url: str, maxsize: int
+) -> urllib3.HTTPConnectionPool:
     connection_pool = urllib3.connection_from_url(url, maxsize=maxsize)
     if connection_pool.scheme == "http":
         connection_pool.ConnectionCls = _SingleWriteConnection
--- a/src/magnoliapitch/capacity/measurement.py
+++ b/src/magnoliapitch/capacity/measurement.py
@@ -62,7 +62,9 @@
     def to_file(self, path: Path) -> None:
         """Write the measurement."""
         options = orjson.OPT_INDENT_2
-        path.write_bytes(orjson.dumps(to_json_value(self), option=options) + b"\n")
+        path.write_bytes(
+            orjson.dumps(to_json_value(self), option=options) + b"\n"
+        )
 
     def slope(self, name: str) -> Slope:
         """Return a slope by its name.
--- a/src/magnoliapitch/clock.py
+++ b/src/magnoliapitch/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic clocks of the operating system, and a manual one for tests."""
+"""Monotonic clocks: those of the operating system, and a manual one."""
 
 from __future__ import annotations
 
@@ -16,10 +16,7 @@
 
 
 class Clock(Protocol):
-    """A monotonic clock.
-
-    Decisions use such a clock, since wall-clock time can be adjusted.
-    """
+    """A monotonic clock; wall-clock time is never used for decisions."""
 
     def now_ms(self) -> int:
         """Return the milliseconds since an arbitrary fixed point in time."""
--- a/src/magnoliapitch/http/client.py
+++ b/src/magnoliapitch/http/client.py
@@ -127,7 +127,9 @@
     :param timeout_ms: limit for connecting, and for each wait for data.
     """
 
-    def __init__(self, base_url: str, timeout_ms: int = DEFAULT_TIMEOUT_MS) -> None:
+    def __init__(
+        self, base_url: str, timeout_ms: int = DEFAULT_TIMEOUT_MS
+    ) -> None:
         self._base_url = base_url.rstrip("/")
         self._timeout_ms = timeout_ms
         self._client = HttpClient()
--- a/src/magnoliapitch/membership/http_instance_list.py
+++ b/src/magnoliapitch/membership/http_instance_list.py
@@ -41,7 +41,9 @@
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
         """Return every listed instance."""
         answer = self._client.call("GET", "/instances")
-        listed = answer.and_then(lambda value: validate_response(_ADAPTER, value))
+        listed = answer.and_then(
+            lambda value: validate_response(_ADAPTER, value)
+        )
         return listed.map(lambda found: found["instances"])
 
 
--- a/src/magnoliapitch/metric/timer.py
+++ b/src/magnoliapitch/metric/timer.py
@@ -31,7 +31,9 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._histogram: Any = HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
+        self._histogram: Any = HdrHistogram(
+            1, MAX_DURATION_US, SIGNIFICANT_DIGITS
+        )
 
     def record(self, duration_ms: float) -> None:
         """Record a duration.
--- a/src/magnoliapitch/supervisor/restart.py
+++ b/src/magnoliapitch/supervisor/restart.py
@@ -53,7 +53,9 @@
             self._failure_times_ms.popleft()
         recent_failures = len(self._failure_times_ms)
         backoff_ms = self._policy.first_backoff_ms * 2 ** (recent_failures - 1)
-        self.restart_due_ms = now_ms + min(backoff_ms, self._policy.max_backoff_ms)
+        self.restart_due_ms = now_ms + min(
+            backoff_ms, self._policy.max_backoff_ms
+        )
         return recent_failures <= self._policy.max_restarts
 
     def record_restart(self) -> None:
--- a/src/magnoliapitch/verdict.py
+++ b/src/magnoliapitch/verdict.py
@@ -37,15 +37,20 @@
     BAD_ANSWER = "bad-answer"
     DUPLICATE = "duplicate"
     EXPIRED = "expired"
+    # A run with the same or a higher number was already stopped or ended.
     STALE = "stale"
     TRUNCATED = "truncated"
     CANCELLED = "cancelled"
     TOO_LARGE = "too-large"
     INTERNAL = "internal"
+    # A higher fencing token or leadership epoch was seen.
     FENCED = "fenced"
+    # The writer's sequence number does not follow its last one.
     SEQUENCE = "sequence"
     NO_ROOM = "no-room"
+    # A worker rejected the ticket of a start order.
     TICKET = "ticket"
+    # Another incarnation of the worker responds at its address.
     REPLACED = "replaced"
     UNHEALTHY = "unhealthy"
 
