--- a/src/magnoliapitch/http/server.py
+++ b/src/magnoliapitch/http/server.py
@@ -75,7 +75,7 @@
         self.inheaders = _Headers()
 
     def parse_request(self) -> None:
-        self.conn.rfile.restart()
+        self.conn.rfile.restart_deadline()
         super().parse_request()
 
     def read_request_headers(self) -> bool:
@@ -103,14 +103,16 @@
         super().send_headers()
 
     def simple_response(self, status: Any, msg: Any = "") -> None:
-        number = int(str(status)[:3])
+        status_code = int(str(status)[:3])
         self.close_connection = True
         self.sent_headers = True
         response = problem_response(
-            self._failure(number, str(msg)), self._request_id(), number
+            self._failure(status_code, str(msg)),
+            self._request_id(),
+            status_code,
         )
         head_lines = [
-            f"HTTP/1.1 {number} {HTTPStatus(number).phrase}",
+            f"HTTP/1.1 {status_code} {HTTPStatus(status_code).phrase}",
             f"Content-Type: {response.content_type}",
             f"Content-Length: {len(response.body)}",
             f"{REQUEST_ID_HEADER}: {self._request_id()}",
@@ -145,8 +147,8 @@
         return not_run(code, text, retry_after_ms)
 
     def _request_id(self) -> str:
-        given = self.inheaders.get(REQUEST_ID_HEADER.encode(), b"")
-        request_id: str = given.decode("latin-1")
+        received = self.inheaders.get(REQUEST_ID_HEADER.encode(), b"")
+        request_id: str = received.decode("latin-1")
         if not is_valid_request_id(request_id):
             self.inheaders.pop(REQUEST_ID_HEADER.encode(), None)
             request_id = new_request_id()
