--- a/src/magnoliapitch/backend/http_client.py
+++ b/src/magnoliapitch/backend/http_client.py
@@ -20,8 +20,8 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.backend.client import BackendResponse
 from magnoliapitch.backend.client import BackendRequest
+from magnoliapitch.backend.client import BackendResponse
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import may_have_run
--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -19,12 +19,12 @@
 from magnoliapitch.bench.decisions.scale import decision_cost
 from magnoliapitch.journal.fold import apply_record
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.json_value import to_json_value
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.peer import codec
 from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
-from magnoliapitch.json_value import to_json_value
 from magnoliapitch.worker.lease import WorkerView
 
 
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -34,8 +34,8 @@
 from magnoliapitch.ledger.records import JOB_STREAM
 from magnoliapitch.ledger.state_table import StateTable
 from magnoliapitch.ledger.submitter import Submitter
-from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.metric import Metrics
+from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.metric import prometheus_text
 from magnoliapitch.platform import PlatformAdvisor
 from magnoliapitch.platform import PlatformDirectory
--- a/src/magnoliapitch/metric/prometheus.py
+++ b/src/magnoliapitch/metric/prometheus.py
@@ -6,8 +6,8 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.metric.process_usage import ProcessUsage
     from magnoliapitch.metric.metrics import Metrics
+    from magnoliapitch.metric.process_usage import ProcessUsage
 
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
--- a/src/magnoliapitch/request/dispatcher.py
+++ b/src/magnoliapitch/request/dispatcher.py
@@ -23,8 +23,8 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.backend.client import BackendResponse
     from magnoliapitch.backend.client import BackendClient
+    from magnoliapitch.backend.client import BackendResponse
     from magnoliapitch.clock import Clock
     from magnoliapitch.membership.instance import InstanceInfo
     from magnoliapitch.peer.link import PeerLink
--- a/src/magnoliapitch/standin/backend.py
+++ b/src/magnoliapitch/standin/backend.py
@@ -15,8 +15,8 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.backend.client import BackendResponse
 from magnoliapitch.backend.client import BackendRequest
+from magnoliapitch.backend.client import BackendResponse
 from magnoliapitch.clock import MonotonicClock
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
--- a/src/magnoliapitch/standin/server.py
+++ b/src/magnoliapitch/standin/server.py
@@ -20,9 +20,9 @@
 from magnoliapitch.http import Listener
 from magnoliapitch.http import json_response
 from magnoliapitch.http import problem_response
+from magnoliapitch.json_value import to_json_value
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.membership.instance import InstanceRole
-from magnoliapitch.json_value import to_json_value
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
 from magnoliapitch.worker.lease import LeaseGrant
--- a/tests/backend/conftest.py
+++ b/tests/backend/conftest.py
@@ -79,7 +79,9 @@
     headers = dict(
         line.lower().split(": ", 1) for line in head.split("\r\n")[1:]
     )
-    remaining_bytes = int(headers["content-length"]) - len(data) + len(head) + 4
+    remaining_bytes = (
+        int(headers["content-length"]) - len(data) + len(head) + 4
+    )
     while remaining_bytes > 0:
         remaining_bytes -= len(stream.recv(remaining_bytes))
     return headers["x-request-id"]
--- a/tests/event/test_line.py
+++ b/tests/event/test_line.py
@@ -35,7 +35,11 @@
 
 
 @settings(derandomize=True, max_examples=300, database=None)
-@given(st.dictionaries(st.sampled_from(["a", "b", "c"]), UNSAFE_VALUES, min_size=1))
+@given(
+    st.dictionaries(
+        st.sampled_from(["a", "b", "c"]), UNSAFE_VALUES, min_size=1
+    )
+)
 def test_line_can_be_parsed_back_for_any_values(
     fields: dict[str, str],
 ) -> None:
--- a/tests/event/test_rate_limit.py
+++ b/tests/event/test_rate_limit.py
@@ -26,7 +26,9 @@
         self.lines: list[Mapping[str, Any]] = []
         self._limit = LineRateLimit(lambda: self.now_s, MAX_LINES)
 
-    def log_line(self, event: str, level: str = "info", **fields: object) -> None:
+    def log_line(
+        self, event: str, level: str = "info", **fields: object
+    ) -> None:
         line = {"event": event, "level": level, **fields}
         if self._limit.admits(line):
             self.lines.append(line)
@@ -63,7 +65,9 @@
     assert log.count("step-starting") == 1
 
 
-def test_warnings_and_lines_with_a_reason_are_always_admitted(log: Log) -> None:
+def test_warnings_and_lines_with_a_reason_are_always_admitted(
+    log: Log,
+) -> None:
     for number in range(40):
         log.log_line("start-failed", "warning", number=number)
         log.log_line("call-answered", number=number, reason="no room")
--- a/tests/http/test_listener.py
+++ b/tests/http/test_listener.py
@@ -171,7 +171,9 @@
         assert read_response(stream)[2] == b"abc"
 
 
-def test_listener_responds_500_when_a_handler_raises(server: RunningServer) -> None:
+def test_listener_responds_500_when_a_handler_raises(
+    server: RunningServer,
+) -> None:
     data = b"GET /fail HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n\r\n"
     status, headers, body = server.exchange(data)
     problem = orjson.loads(body)
@@ -219,7 +221,9 @@
         stream.close()
 
 
-def test_listener_refuses_requests_beyond_the_connection_limit(server: RunningServer) -> None:
+def test_listener_refuses_requests_beyond_the_connection_limit(
+    server: RunningServer,
+) -> None:
     idle = [server.connect() for _ in range(LIMITS.connections)]
     status, headers, body = server.exchange(_post("Content-Length: 0\r\n"))
     assert (status, orjson.loads(body)["verdict"]) == (503, "not_run")
--- a/tests/metric/test_metrics.py
+++ b/tests/metric/test_metrics.py
@@ -2,8 +2,8 @@
 
 import socket
 
-from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.metric import Metrics
+from magnoliapitch.metric import ProcessUsageMeter
 from magnoliapitch.metric import prometheus_text
 
 
