--- a/src/magnoliapitch/http/reader.py
+++ b/src/magnoliapitch/http/reader.py
@@ -34,7 +34,7 @@
         """
         remaining_s = self._deadline_s - time.monotonic()
         if remaining_s <= 0:
-            # cheroot recognises a timeout by this text.
+            # cheroot recognises a timeout by this text and responds with 408.
             raise TimeoutError("timed out")
         self._stream.settimeout(remaining_s)
         try:
