--- /dev/null
+++ b/src/magnoliapitch/event/job_definitions.py
@@ -0,0 +1,172 @@
+"""Definitions of the events of scheduling jobs from a shared store."""
+
+from __future__ import annotations
+
+from magnoliapitch.event.registry import EventLevel
+from magnoliapitch.event.registry import define_event
+
+
+define_event(
+    "call-answered",
+    EventLevel.INFO,
+    "A submission or cancellation was stored, or failed for the given reason.",
+)
+define_event(
+    "step-starting",
+    EventLevel.INFO,
+    "Start orders for tasks of a step are about to be sent; gives the time "
+    "since the step became ready.",
+)
+define_event(
+    "step-done",
+    EventLevel.INFO,
+    "Every task of a step is done.",
+)
+define_event(
+    "advice-received",
+    EventLevel.INFO,
+    "The advisor answered for a step with the number of workers that it "
+    "permits.",
+)
+define_event(
+    "advice-failed",
+    EventLevel.WARNING,
+    "The advisor did not answer for a step; it is asked again.",
+)
+define_event(
+    "advice-lane-rests",
+    EventLevel.WARNING,
+    "A call to the advisor through another instance failed; that instance is "
+    "not used for this for some seconds.",
+)
+define_event(
+    "run-ended",
+    EventLevel.INFO,
+    "A run ended other than by completing, or its end was already known.",
+)
+define_event(
+    "run-absent",
+    EventLevel.WARNING,
+    "A worker does not list a run that was ordered there, so the run is "
+    "certainly not executing; its task waits again.",
+)
+define_event(
+    "start-failed",
+    EventLevel.WARNING,
+    "A worker refused a start order or did not answer it.",
+)
+define_event(
+    "stop-ordered",
+    EventLevel.INFO,
+    "A worker is ordered to stop a run, for the given reason.",
+)
+define_event(
+    "worker-draining",
+    EventLevel.INFO,
+    "A worker is about to leave and gets no new work.",
+)
+define_event(
+    "worker-avoided",
+    EventLevel.WARNING,
+    "Runs on a worker failed repeatedly; it gets no work for the given pause.",
+)
+define_event(
+    "settings-reloaded",
+    EventLevel.INFO,
+    "The settings file was read again after SIGHUP.",
+)
+define_event(
+    "settings-rejected",
+    EventLevel.ERROR,
+    "The settings file is invalid after SIGHUP; nothing was changed.",
+)
+define_event(
+    "worker-gone",
+    EventLevel.WARNING,
+    "A worker left or was replaced; the tasks it ran wait again.",
+)
+define_event(
+    "worker-lease-over",
+    EventLevel.WARNING,
+    "A worker was silent until its lease had certainly expired; the tasks it "
+    "ran wait again.",
+)
+define_event(
+    "worker-unreadable",
+    EventLevel.WARNING,
+    "An entry in the list of workers is invalid; it is ignored.",
+)
+define_event(
+    "worker-list-unavailable",
+    EventLevel.WARNING,
+    "The list of workers cannot be read; the last known list is used.",
+)
+define_event(
+    "configuration-applied",
+    EventLevel.INFO,
+    "This instance applied a newer configuration.",
+)
+define_event(
+    "configuration-unreadable",
+    EventLevel.ERROR,
+    "The newest configuration cannot be decoded; the previous one stays in "
+    "force.",
+)
+define_event(
+    "queue-missing",
+    EventLevel.WARNING,
+    "A stored job names a queue that the configuration does not define; the "
+    "job waits.",
+)
+define_event(
+    "store-unavailable",
+    EventLevel.WARNING,
+    "A call to the store failed after an earlier one had succeeded.",
+)
+define_event(
+    "store-available",
+    EventLevel.INFO,
+    "A call to the store succeeded after earlier ones had failed.",
+)
+define_event(
+    "record-unreadable",
+    EventLevel.WARNING,
+    "A stored record cannot be decoded and is skipped.",
+)
+define_event(
+    "leadership-claimed",
+    EventLevel.INFO,
+    "This instance became the leader under the given epoch.",
+)
+define_event(
+    "leadership-claim-failed",
+    EventLevel.INFO,
+    "This instance did not become the leader: another instance claimed "
+    "leadership first, or the store did not answer.",
+)
+define_event(
+    "leadership-begun",
+    EventLevel.INFO,
+    "The new leader has read every open job.",
+)
+define_event(
+    "leadership-unprepared",
+    EventLevel.WARNING,
+    "The new leader could not read the jobs yet; it tries again.",
+)
+define_event(
+    "leadership-lost",
+    EventLevel.WARNING,
+    "This instance is no longer the leader, for the given reason.",
+)
+define_event(
+    "leadership-resigned",
+    EventLevel.INFO,
+    "The leader stops and resigns, so that another instance can take over at "
+    "once.",
+)
+define_event(
+    "leave-failed",
+    EventLevel.WARNING,
+    "A stopping instance could not remove its address from the member list.",
+)
