--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -7,13 +7,13 @@
 
 from result import Err
 
-from magnoliapitch.control.contacts import Contacts
-from magnoliapitch.control.orders import Orders
+from magnoliapitch.control.order_issuer import Orders
+from magnoliapitch.control.progress_batcher import ProgressStorage
+from magnoliapitch.control.reachability import Contacts
 from magnoliapitch.control.reports import ReportReader
-from magnoliapitch.control.storage import ProgressStorage
 from magnoliapitch.event import log_event
-from magnoliapitch.planner.book import Book
 from magnoliapitch.planner.planner import Planner
+from magnoliapitch.planner.scheduler_state import Book
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
 
@@ -34,9 +34,9 @@
     from magnoliapitch.ledger.replica import StoredJob
     from magnoliapitch.ledger.state_table import StateTable
     from magnoliapitch.metric import Metrics
-    from magnoliapitch.planner.entry import WorkerEntry
     from magnoliapitch.planner.plan import PlannedAsk
     from magnoliapitch.planner.plan import PlannedStart
+    from magnoliapitch.planner.tracked import WorkerEntry
     from magnoliapitch.verdict import Failure
     from magnoliapitch.workload.configuration import Configuration
     from magnoliapitch.workload.job import StepKey
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -25,7 +25,7 @@
 from magnoliapitch.control.events import StopAnswered
 from magnoliapitch.control.events import WorkerReported
 from magnoliapitch.control.events import WorkersListed
-from magnoliapitch.control.link import WorkerLink
+from magnoliapitch.control.lease_renewer import WorkerLink
 from magnoliapitch.control.order_sender import OrderSender
 from magnoliapitch.event import log_event
 from magnoliapitch.ledger.members import Members
--- a/src/magnoliapitch/control/link.py
+++ b/src/magnoliapitch/control/lease_renewer.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from magnoliapitch.control.events import WorkerReported
-from magnoliapitch.control.link_pace import LinkPace
+from magnoliapitch.control.renewal_pacing import LinkPace
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/control/orders.py
+++ b/src/magnoliapitch/control/order_issuer.py
@@ -16,11 +16,11 @@
 
     from magnoliapitch.control.effects import Effects
     from magnoliapitch.metric import Metrics
-    from magnoliapitch.planner.book import Book
-    from magnoliapitch.planner.entry import RunEntry
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.planner.plan import PlannedStop
     from magnoliapitch.planner.planner import Planner
+    from magnoliapitch.planner.scheduler_state import Book
+    from magnoliapitch.planner.tracked import RunEntry
     from magnoliapitch.verdict import Failure
     from magnoliapitch.workload.worker import WorkerInfo
 
--- a/src/magnoliapitch/control/storage.py
+++ b/src/magnoliapitch/control/progress_batcher.py
@@ -24,8 +24,8 @@
     from magnoliapitch.control.timing import ControlTiming
     from magnoliapitch.ledger.records import LeaderRecord
     from magnoliapitch.ledger.state_table import StateTable
-    from magnoliapitch.planner.book import Book
-    from magnoliapitch.planner.entry import JobEntry
+    from magnoliapitch.planner.scheduler_state import Book
+    from magnoliapitch.planner.tracked import JobEntry
     from magnoliapitch.workload.progress import JobProgress
 
 
--- a/src/magnoliapitch/control/reports.py
+++ b/src/magnoliapitch/control/reports.py
@@ -12,9 +12,9 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.metric import Metrics
-    from magnoliapitch.planner.book import Book
-    from magnoliapitch.planner.entry import RunEntry
     from magnoliapitch.planner.planner import Planner
+    from magnoliapitch.planner.scheduler_state import Book
+    from magnoliapitch.planner.tracked import RunEntry
     from magnoliapitch.workload.run import EndedRun
     from magnoliapitch.workload.run import WorkerReport
 
--- a/src/magnoliapitch/planner/room.py
+++ b/src/magnoliapitch/planner/candidates.py
@@ -9,8 +9,8 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-    from magnoliapitch.planner.entry import StepEntry
-    from magnoliapitch.planner.entry import WorkerEntry
+    from magnoliapitch.planner.tracked import StepEntry
+    from magnoliapitch.planner.tracked import WorkerEntry
     from magnoliapitch.resource import Resources
     from magnoliapitch.workload.worker import WorkerInfo
 
--- a/src/magnoliapitch/planner/duration.py
+++ b/src/magnoliapitch/planner/duration.py
@@ -8,7 +8,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.planner.entry import StepEntry
+    from magnoliapitch.planner.tracked import StepEntry
 
 
 DEFAULT_MS = 2_000.0
--- a/src/magnoliapitch/planner/planner.py
+++ b/src/magnoliapitch/planner/planner.py
@@ -4,17 +4,17 @@
 
 from typing import TYPE_CHECKING
 
+from magnoliapitch.planner.candidates import Room
+from magnoliapitch.planner.candidates import Slot
+from magnoliapitch.planner.candidates import spare_tasks
+from magnoliapitch.planner.candidates import tasks_when_empty
 from magnoliapitch.planner.duration import Durations
-from magnoliapitch.planner.order import rank_of
 from magnoliapitch.planner.plan import Plan
 from magnoliapitch.planner.plan import PlannedAsk
 from magnoliapitch.planner.plan import PlannedStart
 from magnoliapitch.planner.plan import PlannedStop
-from magnoliapitch.planner.room import Room
-from magnoliapitch.planner.room import Slot
-from magnoliapitch.planner.room import spare_tasks
-from magnoliapitch.planner.room import tasks_when_empty
-from magnoliapitch.planner.trust import Trust
+from magnoliapitch.planner.ranking import rank_of
+from magnoliapitch.planner.worker_backoff import Trust
 from magnoliapitch.resource import NO_RESOURCES
 from magnoliapitch.workload.progress import JobOutcome
 
@@ -22,9 +22,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from magnoliapitch.planner.book import Book
-    from magnoliapitch.planner.entry import RunEntry
-    from magnoliapitch.planner.entry import StepEntry
+    from magnoliapitch.planner.scheduler_state import Book
+    from magnoliapitch.planner.tracked import RunEntry
+    from magnoliapitch.planner.tracked import StepEntry
 
 
 # A permit must outlast the way of the start to the worker.
--- a/src/magnoliapitch/planner/order.py
+++ b/src/magnoliapitch/planner/ranking.py
@@ -8,8 +8,8 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.planner.duration import Durations
-    from magnoliapitch.planner.entry import JobEntry
-    from magnoliapitch.planner.entry import StepEntry
+    from magnoliapitch.planner.tracked import JobEntry
+    from magnoliapitch.planner.tracked import StepEntry
 
 
 # A job that completes later than this multiple of its objective is
--- a/src/magnoliapitch/planner/book.py
+++ b/src/magnoliapitch/planner/scheduler_state.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.planner.entry import JobEntry
-from magnoliapitch.planner.entry import RunEntry
-from magnoliapitch.planner.entry import StepEntry
-from magnoliapitch.planner.entry import TaskEntry
-from magnoliapitch.planner.entry import WorkerEntry
+from magnoliapitch.planner.tracked import JobEntry
+from magnoliapitch.planner.tracked import RunEntry
+from magnoliapitch.planner.tracked import StepEntry
+from magnoliapitch.planner.tracked import TaskEntry
+from magnoliapitch.planner.tracked import WorkerEntry
 from magnoliapitch.workload.progress import JobOutcome
 from magnoliapitch.workload.progress import JobProgress
 from magnoliapitch.workload.progress import Placement
--- a/tests/control/simulated_effects.py
+++ b/tests/control/simulated_effects.py
@@ -33,7 +33,7 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 if TYPE_CHECKING:
-    from tests.control.scene import Scene
+    from tests.control.simulation import Scene
 
 
 LINK_MS = 2
--- a/tests/control/worker.py
+++ b/tests/control/simulated_worker.py
@@ -13,8 +13,8 @@
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
-from magnoliapitch.workload.run import EndedRun
 from magnoliapitch.workload.run import EndKind
+from magnoliapitch.workload.run import EndedRun
 from magnoliapitch.workload.run import RunningTask
 from magnoliapitch.workload.run import StartOrder
 from magnoliapitch.workload.run import StopOrder
@@ -27,7 +27,7 @@
     from magnoliapitch.workload.job import StepSpec
     from magnoliapitch.workload.job import TaskKey
     from magnoliapitch.workload.worker import WorkerInfo
-    from tests.control.scene import Scene
+    from tests.control.simulation import Scene
 
 
 class _Run:
--- a/tests/control/scene.py
+++ b/tests/control/simulation.py
@@ -15,8 +15,8 @@
 from magnoliapitch.control.controller import Controller
 from magnoliapitch.control.events import WorkersListed
 from magnoliapitch.control.timing import ControlTiming
-from magnoliapitch.ledger.records import CANCEL_PREFIX
 from magnoliapitch.ledger.records import CANCELLED
+from magnoliapitch.ledger.records import CANCEL_PREFIX
 from magnoliapitch.ledger.records import JOB_PREFIX
 from magnoliapitch.ledger.records import LeaderRecord
 from magnoliapitch.ledger.records import encode_job
@@ -35,7 +35,7 @@
 from magnoliapitch.workload.worker import WorkerInfo
 from tests.control.simulated_effects import COMMIT_MS
 from tests.control.simulated_effects import SimulatedEffects
-from tests.control.worker import SimulatedWorker
+from tests.control.simulated_worker import SimulatedWorker
 
 
 if TYPE_CHECKING:
--- a/tests/control/test_controller.py
+++ b/tests/control/test_controller.py
@@ -16,10 +16,10 @@
 from magnoliapitch.workload.job import JobSpec
 from magnoliapitch.workload.job import StepSpec
 from magnoliapitch.workload.job import TaskKey
-from tests.control.scene import TIMING
-from tests.control.scene import Scene
-from tests.control.scene import queue
-from tests.control.scene import workers
+from tests.control.simulation import TIMING
+from tests.control.simulation import Scene
+from tests.control.simulation import queue
+from tests.control.simulation import workers
 
 
 SIZE = Resources(2_000, 4_000)
--- a/tests/control/test_link_pace.py
+++ b/tests/control/test_renewal_pacing.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from magnoliapitch.control.link_pace import LinkPace
+from magnoliapitch.control.renewal_pacing import LinkPace
 
 
 def settled() -> LinkPace:
--- a/tests/planner/test_load_patterns.py
+++ b/tests/planner/test_load_patterns.py
@@ -17,9 +17,9 @@
 from magnoliapitch.workload.job import TaskKey
 from tests.control.load import GROWN_KINDS
 from tests.control.load import Load
-from tests.control.scene import Scene
-from tests.control.scene import queue
-from tests.control.scene import workers
+from tests.control.simulation import Scene
+from tests.control.simulation import queue
+from tests.control.simulation import workers
 
 
 URGENT_START_MS = 10_000
--- a/tests/planner/test_trust.py
+++ b/tests/planner/test_worker_backoff.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from magnoliapitch.planner.trust import LONGEST_PAUSE_MS
-from magnoliapitch.planner.trust import Trust
+from magnoliapitch.planner.worker_backoff import LONGEST_PAUSE_MS
+from magnoliapitch.planner.worker_backoff import Trust
 
 
 def test_a_single_failure_is_the_task_s_own() -> None:
