--- a/src/magnoliapitch/advice/lanes.py
+++ b/src/magnoliapitch/advice/lanes.py
@@ -18,7 +18,7 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.http.client import HttpClient
-    from magnoliapitch.planner.plan import PlannedAsk
+    from magnoliapitch.planner.plan import PlannedPermitRequest
     from magnoliapitch.verdict import Failure
     from magnoliapitch.workload.client import Advisor
     from magnoliapitch.workload.run import Permit
@@ -64,7 +64,7 @@
             for address in set(self._peer_lanes_by_address) - wanted:
                 del self._peer_lanes_by_address[address]
 
-    def reserve(self, ask: PlannedAsk) -> Lane | None:
+    def reserve(self, ask: PlannedPermitRequest) -> Lane | None:
         """Return an idle lane for a call, busy from now on, or None."""
         now_ms = self._clock.now_ms()
         with self._lock:
@@ -85,7 +85,7 @@
             )
 
     def call(
-        self, lane: Lane, ask: PlannedAsk, timeout_ms: int
+        self, lane: Lane, ask: PlannedPermitRequest, timeout_ms: int
     ) -> Result[tuple[Permit, ...], Failure]:
         """Ask through a reserved lane, and free it."""
         outcome = lane.advisor.permits(ask.step, ask.worker_ids, timeout_ms)
@@ -97,12 +97,12 @@
                 log_event("advice-lane-rests", lane=lane.name, reason=reason)
         return outcome
 
-    def _preferred(self, ask: PlannedAsk, now_ms: int) -> list[Lane]:
+    def _preferred(self, ask: PlannedPermitRequest, now_ms: int) -> list[Lane]:
         peers = [
             lane
             for lane in self._peer_lanes_by_address.values()
             if now_ms >= lane.rests_until_ms
         ]
-        if ask.cost_ms <= SHORT_CALL_MS:
+        if ask.expected_call_ms <= SHORT_CALL_MS:
             return [self._own, *peers]
         return peers or [self._own]
--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -7,13 +7,13 @@
 
 from result import Err
 
-from magnoliapitch.control.order_issuer import Orders
-from magnoliapitch.control.progress_batcher import ProgressStorage
-from magnoliapitch.control.reachability import Contacts
-from magnoliapitch.control.reports import ReportReader
+from magnoliapitch.control.order_issuer import OrderIssuer
+from magnoliapitch.control.progress_batcher import ProgressBatcher
+from magnoliapitch.control.reachability import WorkerReachability
+from magnoliapitch.control.reports import ReportApplier
 from magnoliapitch.event import log_event
 from magnoliapitch.planner.planner import Planner
-from magnoliapitch.planner.scheduler_state import Book
+from magnoliapitch.planner.scheduler_state import SchedulerState
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
 
@@ -22,7 +22,7 @@
     from collections.abc import Callable
 
     from magnoliapitch.control.effects import Effects
-    from magnoliapitch.control.events import Advised
+    from magnoliapitch.control.events import PermitsAnswered
     from magnoliapitch.control.events import Committed
     from magnoliapitch.control.events import StartAnswered
     from magnoliapitch.control.events import StopAnswered
@@ -34,16 +34,16 @@
     from magnoliapitch.ledger.replica import StoredJob
     from magnoliapitch.ledger.state_table import StateTable
     from magnoliapitch.metric import Metrics
-    from magnoliapitch.planner.plan import PlannedAsk
+    from magnoliapitch.planner.plan import PlannedPermitRequest
     from magnoliapitch.planner.plan import PlannedStart
-    from magnoliapitch.planner.tracked import WorkerEntry
+    from magnoliapitch.planner.tracked import TrackedWorker
     from magnoliapitch.verdict import Failure
     from magnoliapitch.workload.configuration import Configuration
     from magnoliapitch.workload.job import StepKey
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-ASK_TIMEOUT_MS = 2_000
+ADVISOR_BASE_TIMEOUT_MS = 2_000
 
 
 class Controller:
@@ -60,13 +60,13 @@
         claimed_ms: int,
         timing: ControlTiming,
         replica: Replica,
-        states: StateTable,
+        state_table: StateTable,
         effects: Effects,
         configuration: Callable[[], Configuration | None],
         metrics: Metrics,
     ) -> None:
         self.is_over = False
-        self.book = Book()
+        self.state = SchedulerState()
         self.planner = Planner()
         self._leader = leader
         self._timing = timing
@@ -74,20 +74,20 @@
         self._effects = effects
         self._configuration = configuration
         self._metrics = metrics
-        self._contacts = Contacts(timing, claimed_ms)
-        self._listed: dict[str, WorkerInfo] = {}
-        self._orders = Orders(
-            leader.epoch, self.book, self.planner, effects, metrics
+        self._reachability = WorkerReachability(timing, claimed_ms)
+        self._info_by_worker: dict[str, WorkerInfo] = {}
+        self._order_issuer = OrderIssuer(
+            leader.epoch, self.state, self.planner, effects, metrics
         )
-        self._reader = ReportReader(self.book, self.planner, metrics)
-        self._to_start: list[PlannedStart] = []
-        self._in_commit: list[PlannedStart] = []
-        self._acknowledged_by_worker: dict[str, int] = {}
-        self._ends_by_worker: dict[str, int] = {}
-        self._is_committing = False
+        self._report_applier = ReportApplier(self.state, self.planner, metrics)
+        self._uncommitted_starts: list[PlannedStart] = []
+        self._starts_in_commit: list[PlannedStart] = []
+        self._ends_in_commit_by_worker: dict[str, int] = {}
+        self._last_end_by_worker: dict[str, int] = {}
+        self._commit_in_flight = False
         self._stored_ms = claimed_ms
-        self._storage = ProgressStorage(
-            self.book, states, leader, timing, effects.forget
+        self._progress_batcher = ProgressBatcher(
+            self.state, state_table, leader, timing, effects.delete_jobs
         )
 
     @property
@@ -97,149 +97,149 @@
 
     def load(self, now_ms: int) -> None:
         """Take over every open job from the replica."""
-        self._storage.load(now_ms)
+        self._progress_batcher.load(now_ms)
         for job in self._replica.jobs():
-            self._take_job(job, now_ms)
+            self._add_job(job, now_ms)
         log_event(
             "leadership-begun",
             epoch=self._leader.epoch,
-            open_jobs=len(self.book.jobs_by_id),
+            open_jobs=len(self.state.jobs_by_id),
         )
 
-    def may_order(self, now_ms: int) -> bool:
+    def may_issue_orders(self, now_ms: int) -> bool:
         """Return whether leases and orders may be given at a time."""
         age_ms = now_ms - self._stored_ms
-        return not self.is_over and age_ms <= self._timing.silence_ms
+        return not self.is_over and age_ms <= self._timing.max_leader_silence_ms
 
     def deadline(self, worker_id: str, now_ms: int) -> int | None:
         """Return the end of a worker's next lease, or None for none."""
-        if not self.may_order(now_ms):
+        if not self.may_issue_orders(now_ms):
             return None
-        return self._contacts.deadline(worker_id, now_ms)
+        return self._reachability.deadline(worker_id, now_ms)
 
-    def note_workers(self, event: WorkersListed) -> None:
+    def handle_worker_list(self, event: WorkersListed) -> None:
         """Take over the platform's list of workers."""
-        self._listed = dict(event.info_by_id)
-        self._orders.listed_by_id = self._listed
-        for worker_id, info in self._listed.items():
-            known = self.book.workers_by_id.get(worker_id)
+        self._info_by_worker = dict(event.info_by_id)
+        self._order_issuer.listed_by_id = self._info_by_worker
+        for worker_id, info in self._info_by_worker.items():
+            known = self.state.workers_by_id.get(worker_id)
             is_new = known is None or known.info is None
             if known is not None and known.info == info:
                 continue
             was_draining = bool(
                 known and known.info and known.info.is_draining
             )
-            self.book.put_worker(info)
+            self.state.update_worker(info)
             if is_new:
-                self._effects.open_link(info)
+                self._effects.start_lease_renewal(info)
             if info.is_draining and not was_draining:
                 log_event("worker-draining", worker=worker_id)
 
-    def note_jobs(self, job_ids: frozenset[str], now_ms: int) -> None:
+    def handle_jobs_changed(self, job_ids: frozenset[str], now_ms: int) -> None:
         """Take over submitted and cancelled jobs."""
         for job_id in job_ids:
             stored = self._replica.get(job_id)
-            known = self.book.jobs_by_id.get(job_id)
+            known = self.state.jobs_by_id.get(job_id)
             if stored is None:
                 continue
             if known is None:
-                self._take_job(stored, now_ms)
+                self._add_job(stored, now_ms)
             elif stored.is_cancelled:
-                self.book.cancel_job(job_id)
+                self.state.cancel_job(job_id)
 
-    def note_configuration(self, now_ms: int) -> None:
+    def handle_configuration_changed(self, now_ms: int) -> None:
         """Take over a newer configuration."""
         configuration = self._configuration()
         if configuration is None:
             return
-        for job in self.book.jobs_by_id.values():
+        for job in self.state.jobs_by_id.values():
             queue = configuration.queues_by_name.get(job.spec.queue)
             job.queue = queue or job.queue
         for stored in self._replica.jobs():
-            if stored.spec and stored.spec.job_id not in self.book.jobs_by_id:
-                self._take_job(stored, now_ms)
+            if stored.spec and stored.spec.job_id not in self.state.jobs_by_id:
+                self._add_job(stored, now_ms)
 
-    def note_report(self, event: WorkerReported) -> None:
+    def handle_report(self, event: WorkerReported) -> None:
         """Take over what a worker runs and what has ended there."""
         worker_id = event.worker_id
         if isinstance(event.outcome, Err):
             if not self._is_final(worker_id, event.outcome.err_value):
-                self._contacts.note_unanswered(worker_id)
+                self._reachability.record_unanswered_renewal(worker_id)
             return
         report = event.outcome.ok_value
-        self._contacts.note_answer(
+        self._reachability.record_answer(
             worker_id, report.clock_ms, event.sent_ms, event.received_ms
         )
-        reading = self._reader.read(
+        reading = self._report_applier.read(
             worker_id, report, event.sent_ms, event.received_ms
         )
-        self._ends_by_worker[worker_id] = reading.last_end
+        self._last_end_by_worker[worker_id] = reading.last_end
         for order in reading.unexpected:
-            info = self._listed.get(worker_id)
+            info = self._info_by_worker.get(worker_id)
             if info is not None:
                 token = self._leader.epoch
-                self._effects.stop_run(info, order._replace(token=token))
-        if not self.book.dirty and not self._is_committing:
+                self._effects.order_stop(info, order._replace(token=token))
+        if not self.state.unsaved_job_ids and not self._commit_in_flight:
             self._effects.acknowledge(worker_id, reading.last_end)
 
-    def note_start(self, event: StartAnswered) -> None:
+    def handle_start_answer(self, event: StartAnswered) -> None:
         """Take over the answer to an order to start."""
         planned = event.start
-        run = self.book.run(planned.task, planned.run, planned.worker_id)
+        run = self.state.run(planned.task, planned.run, planned.worker_id)
         if not isinstance(event.outcome, Err):
             if run is not None and run.confirmed_ms is None:
-                self.book.confirm_run(run, event.received_ms)
+                self.state.confirm_run(run, event.received_ms)
             return
         failure = event.outcome.err_value
-        self._orders.note_failed_start(planned, failure)
+        self._order_issuer.record_failed_start(planned, failure)
         if self._is_final(planned.worker_id, failure):
             return
         if run is None or run.confirmed_ms is not None:
             return
         if failure.code in (FailureCode.UNAVAILABLE, FailureCode.TIMEOUT):
-            self._contacts.note_silent(planned.worker_id, event.received_ms)
+            self._reachability.record_unanswered_order(planned.worker_id, event.received_ms)
         if failure.verdict is Verdict.NOT_RUN:
-            self._orders.refuse_start(run, planned, failure, event.received_ms)
+            self._order_issuer.undo_refused_start(run, planned, failure, event.received_ms)
         else:
-            self.book.stop_later(run)
+            self.state.mark_for_stop(run)
 
-    def note_stop(self, event: StopAnswered) -> None:
+    def handle_stop_answer(self, event: StopAnswered) -> None:
         """Take over the answer to an order to stop."""
-        run = self.book.run(event.task, event.run, event.worker_id)
+        run = self.state.run(event.task, event.run, event.worker_id)
         if not isinstance(event.outcome, Err):
             if run is not None:
                 run.stopped_ms = event.received_ms
             return
         if not self._is_final(event.worker_id, event.outcome.err_value):
-            self._contacts.note_silent(event.worker_id, event.received_ms)
+            self._reachability.record_unanswered_order(event.worker_id, event.received_ms)
 
-    def note_commit(self, event: Committed, now_ms: int) -> None:
+    def handle_commit(self, event: Committed, now_ms: int) -> None:
         """Go on with what waited for the store."""
-        self._is_committing = False
+        self._commit_in_flight = False
         if isinstance(event.outcome, Err):
             self.end(event.outcome.err_value.detail)
             return
         self._stored_ms = max(self._stored_ms, event.sent_ms)
-        self._storage.note_stored(now_ms)
-        for worker_id, number in self._acknowledged_by_worker.items():
+        self._progress_batcher.record_stored(now_ms)
+        for worker_id, number in self._ends_in_commit_by_worker.items():
             self._effects.acknowledge(worker_id, number)
-        starts, self._in_commit = self._in_commit, []
+        starts, self._starts_in_commit = self._starts_in_commit, []
         for planned in starts:
             deadline_ms = self.deadline(planned.worker_id, now_ms)
-            self._orders.start(planned, deadline_ms, now_ms)
+            self._order_issuer.start(planned, deadline_ms, now_ms)
 
-    def note_advice(self, event: Advised) -> None:
+    def handle_permits(self, event: PermitsAnswered) -> None:
         """Take over an answer of the advisor."""
-        step = self.book.step(event.ask.step)
+        step = self.state.step(event.request.step)
         if step is None:
             return
-        step.asking = frozenset()
+        step.in_flight_worker_ids = frozenset()
         if isinstance(event.outcome, Err):
             failure = event.outcome.err_value
             log_event(
                 "advice-failed",
-                job=event.ask.step.job_id,
-                step=event.ask.step.step,
+                job=event.request.step.job_id,
+                step=event.request.step.step,
                 reason=failure.detail,
             )
             return
@@ -247,14 +247,14 @@
         valid_ms = advice.valid_ms if advice else 0
         log_event(
             "advice-received",
-            job=event.ask.step.job_id,
-            step=event.ask.step.step,
-            asked=len(event.ask.worker_ids),
+            job=event.request.step.job_id,
+            step=event.request.step.step,
+            asked=len(event.request.worker_ids),
             permitted=len(event.outcome.ok_value),
         )
-        self.book.note_permits(
-            event.ask.step,
-            event.ask.worker_ids,
+        self.state.record_permits(
+            event.request.step,
+            event.request.worker_ids,
             event.outcome.ok_value,
             event.sent_ms + valid_ms,
         )
@@ -265,28 +265,28 @@
             return
         self._check_workers(now_ms)
         plan = self.planner.plan(
-            self.book, now_ms, wall_ms, self._effects.idle_lanes()
+            self.state, now_ms, wall_ms, self._effects.available_advisor_calls()
         )
-        if self.may_order(now_ms):
-            self._note_starts(plan.starts, now_ms)
+        if self.may_issue_orders(now_ms):
+            self._record_starts(plan.starts, now_ms)
             for stop in plan.stops:
-                if self._contacts.is_answering(stop.worker_id):
-                    self._orders.stop(stop, now_ms)
-            self._ask(plan.asks)
+                if self._reachability.is_answering(stop.worker_id):
+                    self._order_issuer.stop(stop, now_ms)
+            self._request_permits(plan.permit_requests)
         self._commit(now_ms)
 
-    def _note_starts(
+    def _record_starts(
         self, starts: tuple[PlannedStart, ...], now_ms: int
     ) -> None:
         counts: Counter[StepKey] = Counter()
         for planned in starts:
-            self.book.order_run(
+            self.state.add_ordered_run(
                 planned.task, planned.run, planned.worker_id, now_ms
             )
-            self._to_start.append(planned)
+            self._uncommitted_starts.append(planned)
             counts[planned.task.step_key] += 1
         for key, count in counts.items():
-            step = self.book.step(key)
+            step = self.state.step(key)
             ready_ms = (step.ready_ms if step else None) or now_ms
             queue = step.job.queue.name if step else ""
             self._metrics.count("starts_planned", queue, count)
@@ -296,17 +296,17 @@
                 job=key.job_id,
                 step=key.step,
                 tasks=count,
-                waiting=step.waiting if step else 0,
+                waiting=step.waiting_count if step else 0,
                 ready_age_ms=now_ms - ready_ms,
             )
 
-    def _ask(self, asks: tuple[PlannedAsk, ...]) -> None:
-        for ask in asks:
-            step = self.book.step(ask.step)
-            if step is not None and not step.is_asking:
-                timeout_ms = ASK_TIMEOUT_MS + int(ask.cost_ms)
-                if self._effects.ask(ask, timeout_ms):
-                    step.asking = frozenset(ask.worker_ids)
+    def _request_permits(self, permit_requests: tuple[PlannedPermitRequest, ...]) -> None:
+        for request in permit_requests:
+            step = self.state.step(request.step)
+            if step is not None and not step.has_call_in_flight:
+                timeout_ms = ADVISOR_BASE_TIMEOUT_MS + int(request.expected_call_ms)
+                if self._effects.request_permits(request, timeout_ms):
+                    step.in_flight_worker_ids = frozenset(request.worker_ids)
 
     def end(self, reason: str) -> None:
         """Decide nothing more."""
@@ -316,57 +316,57 @@
                 "leadership-lost", epoch=self._leader.epoch, reason=reason
             )
 
-    def _take_job(self, stored: StoredJob, now_ms: int) -> None:
+    def _add_job(self, stored: StoredJob, now_ms: int) -> None:
         configuration = self._configuration()
         spec = stored.spec
         if spec is None or configuration is None:
             return
-        if self._storage.has_ended(spec.job_id):
-            self._effects.forget([spec.job_id])
+        if self._progress_batcher.has_ended(spec.job_id):
+            self._effects.delete_jobs([spec.job_id])
             return
         queue = configuration.queues_by_name.get(spec.queue)
         if queue is None:
             # The queue was removed; its jobs wait for its return.
             log_event("queue-missing", job=spec.job_id, queue=spec.queue)
             return
-        self.book.add_job(spec, queue, now_ms, stored.progress)
-        self._storage.note_taken(spec.job_id)
+        self.state.add_job(spec, queue, now_ms, stored.progress)
+        self._progress_batcher.record_added(spec.job_id)
         if stored.is_cancelled:
-            self.book.cancel_job(spec.job_id)
+            self.state.cancel_job(spec.job_id)
 
     def _is_final(self, worker_id: str, failure: Failure) -> bool:
         """Act on a failure that ends this leadership or the worker."""
         if failure.code is FailureCode.FENCED:
             self.end("a worker has seen a higher token")
         elif failure.code is FailureCode.REPLACED:
-            self._drop_worker(worker_id, "replaced")
+            self._remove_worker(worker_id, "replaced")
         else:
             return False
         return True
 
     def _check_workers(self, now_ms: int) -> None:
-        for worker in list(self.book.workers_by_id.values()):
+        for worker in list(self.state.workers_by_id.values()):
             worker_id = worker.worker_id
-            is_reached = self._contacts.is_reached(worker_id, now_ms)
-            is_avoided = self.planner.trust.is_avoided(worker_id, now_ms)
+            is_reachable = self._reachability.is_reachable(worker_id, now_ms)
+            is_avoided = self.planner.worker_backoff.is_avoided(worker_id, now_ms)
             worker.is_usable = (
-                is_reached and not is_avoided and worker_id in self._listed
+                is_reachable and not is_avoided and worker_id in self._info_by_worker
             )
-            if not is_reached:
-                self._check_lapsed(worker, now_ms)
+            if not is_reachable:
+                self._check_expired_leases(worker, now_ms)
 
-    def _check_lapsed(self, worker: WorkerEntry, now_ms: int) -> None:
+    def _check_expired_leases(self, worker: TrackedWorker, now_ms: int) -> None:
         worker_id = worker.worker_id
-        if now_ms < self._contacts.lease_over_ms(worker_id):
+        if now_ms < self._reachability.leases_expired_at_ms(worker_id):
             return
-        lost = self.book.lose_runs(worker_id)
+        lost = self.state.lose_runs(worker_id)
         if lost:
             log_event("worker-lease-over", worker=worker_id, lost_runs=lost)
-        if worker_id not in self._listed:
-            self._drop_worker(worker_id, "unlisted")
+        if worker_id not in self._info_by_worker:
+            self._remove_worker(worker_id, "unlisted")
 
-    def _drop_worker(self, worker_id: str, reason: str) -> None:
-        worker = self.book.workers_by_id.get(worker_id)
+    def _remove_worker(self, worker_id: str, reason: str) -> None:
+        worker = self.state.workers_by_id.get(worker_id)
         if worker is None:
             return
         log_event(
@@ -375,21 +375,21 @@
             reason=reason,
             lost_runs=len(worker.runs),
         )
-        self._effects.close_link(worker_id)
-        self.book.drop_worker(worker_id)
-        self._ends_by_worker.pop(worker_id, None)
-        self._listed.pop(worker_id, None)
-        self._contacts.forget(worker_id)
-        self._reader.forget(worker_id)
-        self.planner.trust.forget(worker_id)
+        self._effects.stop_lease_renewal(worker_id)
+        self.state.remove_worker(worker_id)
+        self._last_end_by_worker.pop(worker_id, None)
+        self._info_by_worker.pop(worker_id, None)
+        self._reachability.forget(worker_id)
+        self._report_applier.forget(worker_id)
+        self.planner.worker_backoff.forget(worker_id)
 
     def _commit(self, now_ms: int) -> None:
-        if self._is_committing:
+        if self._commit_in_flight:
             return
-        batch = self._storage.next_batch(now_ms, bool(self._to_start))
+        batch = self._progress_batcher.next_batch(now_ms, bool(self._uncommitted_starts))
         if batch is None:
             return
-        self._acknowledged_by_worker = dict(self._ends_by_worker)
-        self._in_commit, self._to_start = self._to_start, []
-        self._is_committing = True
+        self._ends_in_commit_by_worker = dict(self._last_end_by_worker)
+        self._starts_in_commit, self._uncommitted_starts = self._uncommitted_starts, []
+        self._commit_in_flight = True
         self._effects.commit(batch)
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -16,7 +16,7 @@
 from magnoliapitch.advice.lanes import Lane
 from magnoliapitch.advice.lanes import LanePool
 from magnoliapitch.control.controller import Controller
-from magnoliapitch.control.events import Advised
+from magnoliapitch.control.events import PermitsAnswered
 from magnoliapitch.control.events import Committed
 from magnoliapitch.control.events import ConfigurationChanged
 from magnoliapitch.control.events import Event
@@ -25,7 +25,7 @@
 from magnoliapitch.control.events import StopAnswered
 from magnoliapitch.control.events import WorkerReported
 from magnoliapitch.control.events import WorkersListed
-from magnoliapitch.control.lease_renewer import WorkerLink
+from magnoliapitch.control.lease_renewer import LeaseRenewer
 from magnoliapitch.control.order_sender import OrderSender
 from magnoliapitch.event import log_event
 from magnoliapitch.ledger.members import Members
@@ -47,7 +47,7 @@
     from magnoliapitch.ledger.leadership import Leadership
     from magnoliapitch.ledger.state_table import StateTable
     from magnoliapitch.metric import Metrics
-    from magnoliapitch.planner.plan import PlannedAsk
+    from magnoliapitch.planner.plan import PlannedPermitRequest
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.workload.configuration import Configuration
     from magnoliapitch.workload.run import StartOrder
@@ -55,14 +55,14 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-ASK_THREADS = 40
-LIST_INTERVAL_MS = 500
+ADVISOR_THREAD_COUNT = 40
+WORKER_LIST_INTERVAL_MS = 500
 ROUND_INTERVAL_MS = 6
-IDLE_INTERVAL_MS = 200
-COMMIT_RETRY_MS = 80
+MAX_EVENT_WAIT_MS = 200
+COMMIT_RETRY_DELAY_MS = 80
 # One call drops at most this many jobs.
-FORGET_MAX_JOBS = 500
-STANDBY_PAUSE_MS = 50
+MAX_JOBS_PER_DELETION = 500
+STANDBY_POLL_INTERVAL_MS = 50
 
 
 class Clients(NamedTuple):
@@ -80,7 +80,7 @@
     def __init__(
         self,
         leadership: Leadership,
-        states: StateTable,
+        state_table: StateTable,
         clients: Clients,
         timing: ControlTiming,
         clock: Clock,
@@ -89,7 +89,7 @@
         metrics: Metrics,
     ) -> None:
         self._leadership = leadership
-        self._states = states
+        self._state_table = state_table
         self._clients = clients
         self._timing = timing
         self._clock = clock
@@ -97,14 +97,14 @@
         self._open_archive = open_archive
         self._metrics = metrics
         self._archive: Archive | None = None
-        self._to_forget: set[str] = set()
+        self._job_ids_to_delete: set[str] = set()
         self._events: queue.SimpleQueue[Event] = queue.SimpleQueue()
-        self._link_by_worker: dict[str, WorkerLink] = {}
+        self._renewer_by_worker: dict[str, LeaseRenewer] = {}
         self._controller: Controller | None = None
         self._sender = OrderSender(clients.workers, clock, self.post, metrics)
         self._commits = ThreadPoolExecutor(1, "commits")
-        self._asks = ThreadPoolExecutor(ASK_THREADS, "asks")
-        self._lists = ThreadPoolExecutor(1, "lists")
+        self._advisor_calls = ThreadPoolExecutor(ADVISOR_THREAD_COUNT, "permit_requests")
+        self._list_reader = ThreadPoolExecutor(1, "lists")
         self._is_listing = False
         self._listed_ms = 0
         self._is_stopping = False
@@ -122,10 +122,10 @@
         """Decide one round if this instance leads."""
         controller = self._controller or self._begin()
         if controller is None:
-            return STANDBY_PAUSE_MS
+            return STANDBY_POLL_INTERVAL_MS
         if controller.is_over or self._is_stopping:
             self._end()
-            return STANDBY_PAUSE_MS
+            return STANDBY_POLL_INTERVAL_MS
         return self._round(controller)
 
     def _begin(self) -> Controller | None:
@@ -136,7 +136,7 @@
         for prepare in (self._leadership.fence, archive.load):
             outcome = prepare()
             if isinstance(outcome, Err):
-                self._note_unprepared(outcome.err_value)
+                self._handle_unprepared(outcome.err_value)
                 return None
         self._events = queue.SimpleQueue()
         self._listed_ms = 0
@@ -145,7 +145,7 @@
             claim.stored_ms,
             self._timing,
             archive.replica,
-            self._states,
+            self._state_table,
             self,
             self._configuration,
             self._metrics,
@@ -158,9 +158,9 @@
     def follow_jobs(self) -> int:
         """Read newly submitted jobs while this instance leads."""
         archive = self._archive
-        return STANDBY_PAUSE_MS if archive is None else archive.step()
+        return STANDBY_POLL_INTERVAL_MS if archive is None else archive.step()
 
-    def _note_unprepared(self, failure: Failure) -> None:
+    def _handle_unprepared(self, failure: Failure) -> None:
         if failure.code in (FailureCode.FENCED, FailureCode.SEQUENCE):
             self._leadership.step_down()
         log_event("leadership-unprepared", reason=failure.detail)
@@ -168,8 +168,8 @@
     def _end(self) -> None:
         self._controller = None
         self._archive = None
-        for worker_id in list(self._link_by_worker):
-            self.close_link(worker_id)
+        for worker_id in list(self._renewer_by_worker):
+            self.stop_lease_renewal(worker_id)
         if self._is_stopping:
             self._commits.shutdown()
             self._leadership.resign()
@@ -188,7 +188,7 @@
     def _next_events(self) -> list[Event]:
         events: list[Event] = []
         try:
-            events.append(self._events.get(timeout=IDLE_INTERVAL_MS / 1000))
+            events.append(self._events.get(timeout=MAX_EVENT_WAIT_MS / 1000))
             while True:
                 events.append(self._events.get_nowait())
         except queue.Empty:
@@ -197,39 +197,39 @@
     def _handle(self, controller: Controller, event: Event) -> None:
         now_ms = self._clock.now_ms()
         if isinstance(event, WorkerReported):
-            controller.note_report(event)
+            controller.handle_report(event)
         elif isinstance(event, StartAnswered):
-            controller.note_start(event)
+            controller.handle_start_answer(event)
         elif isinstance(event, StopAnswered):
-            controller.note_stop(event)
+            controller.handle_stop_answer(event)
         elif isinstance(event, Committed):
-            controller.note_commit(event, now_ms)
+            controller.handle_commit(event, now_ms)
         elif isinstance(event, JobsChanged):
-            controller.note_jobs(event.job_ids, now_ms)
+            controller.handle_jobs_changed(event.job_ids, now_ms)
         elif isinstance(event, WorkersListed):
-            controller.note_workers(event)
-        elif isinstance(event, Advised):
-            controller.note_advice(event)
+            controller.handle_worker_list(event)
+        elif isinstance(event, PermitsAnswered):
+            controller.handle_permits(event)
         elif isinstance(event, ConfigurationChanged):
-            controller.note_configuration(now_ms)
+            controller.handle_configuration_changed(now_ms)
 
     def _list_workers(self, now_ms: int) -> None:
-        is_due = now_ms - self._listed_ms >= LIST_INTERVAL_MS
+        is_due = now_ms - self._listed_ms >= WORKER_LIST_INTERVAL_MS
         if is_due and not self._is_listing:
             self._is_listing = True
             self._listed_ms = now_ms
-            self._lists.submit(self._list_now)
+            self._list_reader.submit(self._list_now)
 
-    def _forget_now(self) -> None:
+    def _delete_jobs_now(self) -> None:
         archive = self._archive
-        if archive is None or not self._to_forget:
+        if archive is None or not self._job_ids_to_delete:
             return
-        job_ids = sorted(self._to_forget)[:FORGET_MAX_JOBS]
+        job_ids = sorted(self._job_ids_to_delete)[:MAX_JOBS_PER_DELETION]
         if not isinstance(archive.forget(job_ids), Err):
-            self._to_forget.difference_update(job_ids)
+            self._job_ids_to_delete.difference_update(job_ids)
 
     def _list_now(self) -> None:
-        self._forget_now()
+        self._delete_jobs_now()
         peers = self._clients.members.peers()
         if not isinstance(peers, Err):
             self._clients.lanes.set_peers(peers.ok_value)
@@ -242,13 +242,13 @@
             return
         self.post(WorkersListed(outcome.ok_value))
 
-    def open_link(self, worker: WorkerInfo) -> None:
+    def start_lease_renewal(self, worker: WorkerInfo) -> None:
         """Renew a worker's lease from now on."""
         controller = self._controller
         if controller is None:
             return
         worker_id = worker.worker_id
-        link = WorkerLink(
+        renewer = LeaseRenewer(
             worker,
             controller.epoch,
             self._clients.workers,
@@ -256,20 +256,20 @@
             lambda now_ms: controller.deadline(worker_id, now_ms),
             self.post,
         )
-        self._link_by_worker[worker_id] = link
-        link.open()
+        self._renewer_by_worker[worker_id] = renewer
+        renewer.open()
 
-    def close_link(self, worker_id: str) -> None:
+    def stop_lease_renewal(self, worker_id: str) -> None:
         """Renew a worker's lease no more."""
-        link = self._link_by_worker.pop(worker_id, None)
-        if link is not None:
-            link.close()
+        renewer = self._renewer_by_worker.pop(worker_id, None)
+        if renewer is not None:
+            renewer.close()
 
     def acknowledge(self, worker_id: str, number: int) -> None:
         """Let a worker forget ends up to a number."""
-        link = self._link_by_worker.get(worker_id)
-        if link is not None:
-            link.acknowledge(number)
+        renewer = self._renewer_by_worker.get(worker_id)
+        if renewer is not None:
+            renewer.acknowledge(number)
 
     def start(
         self, worker: WorkerInfo, planned: PlannedStart, order: StartOrder
@@ -277,27 +277,27 @@
         """Order a worker to start a run."""
         self._sender.start(worker, planned, order)
 
-    def stop_run(self, worker: WorkerInfo, order: StopOrder) -> None:
+    def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         """Order a worker to stop a run."""
-        self._sender.stop_run(worker, order)
+        self._sender.order_stop(worker, order)
 
     def commit(self, batch: Batch) -> None:
         """Store records under the leader's epoch."""
         self._commits.submit(self._commit_now, batch)
 
-    def forget(self, job_ids: Sequence[str]) -> None:
+    def delete_jobs(self, job_ids: Sequence[str]) -> None:
         """Drop stored jobs that are over, many together."""
-        self._to_forget.update(job_ids)
+        self._job_ids_to_delete.update(job_ids)
 
-    def ask(self, ask: PlannedAsk, timeout_ms: int) -> bool:
+    def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
         """Ask the advisor, unless all that can ask are busy."""
-        lane = self._clients.lanes.reserve(ask)
+        lane = self._clients.lanes.reserve(request)
         if lane is None:
             return False
-        self._asks.submit(self._ask_now, lane, ask, timeout_ms)
+        self._advisor_calls.submit(self._request_permits_now, lane, request, timeout_ms)
         return True
 
-    def idle_lanes(self) -> int:
+    def available_advisor_calls(self) -> int:
         """Return how many calls to the advisor can be begun now."""
         return self._clients.lanes.idle()
 
@@ -309,13 +309,13 @@
             outcome = self._leadership.commit(batch)
             if isinstance(outcome, Ok) or _is_final(outcome.err_value):
                 break
-            time.sleep(COMMIT_RETRY_MS / 1000)
+            time.sleep(COMMIT_RETRY_DELAY_MS / 1000)
         self.post(Committed(outcome, sent_ms))
 
-    def _ask_now(self, lane: Lane, ask: PlannedAsk, timeout_ms: int) -> None:
+    def _request_permits_now(self, lane: Lane, request: PlannedPermitRequest, timeout_ms: int) -> None:
         sent_ms = self._clock.now_ms()
-        outcome = self._clients.lanes.call(lane, ask, timeout_ms)
-        self.post(Advised(ask, outcome, sent_ms))
+        outcome = self._clients.lanes.call(lane, request, timeout_ms)
+        self.post(PermitsAnswered(request, outcome, sent_ms))
 
 
 def _is_final(failure: Failure) -> bool:
--- a/src/magnoliapitch/control/effects.py
+++ b/src/magnoliapitch/control/effects.py
@@ -10,7 +10,7 @@
     from collections.abc import Sequence
 
     from magnoliapitch.ledger.leadership import Batch
-    from magnoliapitch.planner.plan import PlannedAsk
+    from magnoliapitch.planner.plan import PlannedPermitRequest
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.workload.run import StartOrder
     from magnoliapitch.workload.run import StopOrder
@@ -20,10 +20,10 @@
 class Effects(Protocol):
     """Each call is answered later by an event, except where noted."""
 
-    def open_link(self, worker: WorkerInfo) -> None:
+    def start_lease_renewal(self, worker: WorkerInfo) -> None:
         """Renew a worker's lease from now on, again and again."""
 
-    def close_link(self, worker_id: str) -> None:
+    def stop_lease_renewal(self, worker_id: str) -> None:
         """Renew a worker's lease no more; no event follows."""
 
     def acknowledge(self, worker_id: str, number: int) -> None:
@@ -34,20 +34,20 @@
     ) -> None:
         """Order a worker to start a run."""
 
-    def stop_run(self, worker: WorkerInfo, order: StopOrder) -> None:
+    def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         """Order a worker to stop a run."""
 
     def commit(self, batch: Batch) -> None:
         """Store records under the leader's epoch."""
 
-    def forget(self, job_ids: Sequence[str]) -> None:
+    def delete_jobs(self, job_ids: Sequence[str]) -> None:
         """Drop stored jobs that are over; no event follows."""
 
-    def ask(self, ask: PlannedAsk, timeout_ms: int) -> bool:
+    def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
         """Ask the advisor, unless all that can ask are busy.
 
         :return: whether the call was begun and an event will follow.
         """
 
-    def idle_lanes(self) -> int:
+    def available_advisor_calls(self) -> int:
         """Return how many calls to the advisor can be begun now."""
--- a/src/magnoliapitch/control/events.py
+++ b/src/magnoliapitch/control/events.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from magnoliapitch.planner.plan import PlannedAsk
+from magnoliapitch.planner.plan import PlannedPermitRequest
 from magnoliapitch.planner.plan import PlannedStart
 from magnoliapitch.verdict import Failure
 from magnoliapitch.workload.job import TaskKey
@@ -74,10 +74,10 @@
     sent_ms: int
 
 
-class Advised(NamedTuple):
+class PermitsAnswered(NamedTuple):
     """The advisor answered, or not."""
 
-    ask: PlannedAsk
+    request: PlannedPermitRequest
     outcome: Result[tuple[Permit, ...], Failure]
     sent_ms: int
 
@@ -90,5 +90,5 @@
     | StartAnswered
     | StopAnswered
     | Committed
-    | Advised
+    | PermitsAnswered
 )
--- a/src/magnoliapitch/control/lease.py
+++ b/src/magnoliapitch/control/lease.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.control.timing import CLOCK_RATE_MIN
-from magnoliapitch.control.timing import LEASE_SLACK_MS
+from magnoliapitch.control.timing import MIN_CLOCK_RATE_RATIO
+from magnoliapitch.control.timing import LEASE_EXPIRY_MARGIN_MS
 
 
 if TYPE_CHECKING:
@@ -15,12 +15,12 @@
 class WorkerLease:
     """The lease of one worker, on its own clock.
 
-    :param over_ms: when a lease that a former leader gave is surely over.
+    :param inherited_leases_end_ms: when a lease that a former leader gave is surely over.
     """
 
-    def __init__(self, timing: ControlTiming, over_ms: int) -> None:
+    def __init__(self, timing: ControlTiming, inherited_leases_end_ms: int) -> None:
         self._timing = timing
-        self._over_ms = over_ms
+        self._inherited_leases_end_ms = inherited_leases_end_ms
         self._clock_ms: int | None = None
         self._sent_ms = 0
         self._received_ms = 0
@@ -31,7 +31,7 @@
         """Return whether the worker has told its clock."""
         return self._clock_ms is not None
 
-    def note_clock(
+    def record_clock(
         self, clock_ms: int, sent_ms: int, received_ms: int
     ) -> None:
         """Take over the worker's clock from an answer."""
@@ -48,10 +48,10 @@
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
         return deadline_ms
 
-    def surely_over_ms(self) -> int:
+    def all_leases_expired_at_ms(self) -> int:
         """Return when every lease given so far is surely over."""
         if self._clock_ms is None or not self._deadline_ms:
-            return self._over_ms
-        left_ms = (self._deadline_ms - self._clock_ms) / CLOCK_RATE_MIN
-        own_ms = self._received_ms + int(left_ms) + LEASE_SLACK_MS
-        return max(own_ms, self._over_ms if self._sent_ms == 0 else own_ms)
+            return self._inherited_leases_end_ms
+        left_ms = (self._deadline_ms - self._clock_ms) / MIN_CLOCK_RATE_RATIO
+        own_ms = self._received_ms + int(left_ms) + LEASE_EXPIRY_MARGIN_MS
+        return max(own_ms, self._inherited_leases_end_ms if self._sent_ms == 0 else own_ms)
--- a/src/magnoliapitch/control/lease_renewer.py
+++ b/src/magnoliapitch/control/lease_renewer.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from magnoliapitch.control.events import WorkerReported
-from magnoliapitch.control.renewal_pacing import LinkPace
+from magnoliapitch.control.renewal_pacing import RenewalPacing
 
 
 if TYPE_CHECKING:
@@ -21,14 +21,14 @@
 
 
 # Without this pause an end that is not stored yet would be listed again.
-STORE_WAIT_MS = 400
+MAX_ACKNOWLEDGE_WAIT_MS = 400
 
 
-class WorkerLink:
+class LeaseRenewer:
     """A thread that renews a lease and hands over each report.
 
     :param deadline: returns the end of the next lease on the worker's
-        clock; None to look only.
+        clock; None to timing only.
     :param post: takes every report.
     """
 
@@ -50,7 +50,7 @@
         self._condition = threading.Condition()
         self._acknowledged = 0
         self._last_end = 0
-        self._pace = LinkPace()
+        self._pacing = RenewalPacing()
         self._is_closed = False
         self._thread = threading.Thread(
             target=self._run, name=f"link-{worker.worker_id}", daemon=True
@@ -74,23 +74,23 @@
 
     def _run(self) -> None:
         while not self._is_closed:
-            pause_ms = self._look()
+            pause_ms = self._renew_once()
             if pause_ms:
                 self._pause(pause_ms)
-            self._await_store()
+            self._wait_for_acknowledgement()
 
-    def _look(self) -> int:
-        """Look at the worker once and return the pause until the next."""
+    def _renew_once(self) -> int:
+        """RenewalTiming at the worker once and return the pause until the next."""
         sent_ms = self._clock.now_ms()
         deadline_ms = self._deadline(sent_ms)
-        look = self._pace.next_look(sent_ms)
+        timing = self._pacing.next_renewal(sent_ms)
         outcome = self._client.renew(
             self._worker,
             self._token,
             deadline_ms,
             self._acknowledged,
-            look.wait_ms if deadline_ms is not None else 0,
-            look.timeout_ms,
+            timing.wait_ms if deadline_ms is not None else 0,
+            timing.timeout_ms,
         )
         if self._is_closed:
             return 0
@@ -99,15 +99,15 @@
             WorkerReported(self._worker.worker_id, outcome, sent_ms, now_ms)
         )
         if isinstance(outcome, Err):
-            return self._pace.note_lost(now_ms)
+            return self._pacing.record_unanswered(now_ms)
         for end in outcome.ok_value.ended:
-            self._last_end = max(self._last_end, end.number)
-        return self._pace.note_answered(gave_lease=deadline_ms is not None)
+            self._last_end = max(self._last_end, end.sequence)
+        return self._pacing.record_answered(lease_granted=deadline_ms is not None)
 
-    def _await_store(self) -> None:
+    def _wait_for_acknowledgement(self) -> None:
         with self._condition:
             if self._acknowledged < self._last_end and not self._is_closed:
-                self._condition.wait(STORE_WAIT_MS / 1000)
+                self._condition.wait(MAX_ACKNOWLEDGE_WAIT_MS / 1000)
 
     def _pause(self, duration_ms: int) -> None:
         with self._condition:
--- a/src/magnoliapitch/control/order_issuer.py
+++ b/src/magnoliapitch/control/order_issuer.py
@@ -1,4 +1,4 @@
-"""Orders to workers to start and stop runs."""
+"""OrderIssuer to workers to start and stop runs."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.planner.plan import PlannedStop
     from magnoliapitch.planner.planner import Planner
-    from magnoliapitch.planner.scheduler_state import Book
-    from magnoliapitch.planner.tracked import RunEntry
+    from magnoliapitch.planner.scheduler_state import SchedulerState
+    from magnoliapitch.planner.tracked import TrackedRun
     from magnoliapitch.verdict import Failure
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-STOP_RETRY_MS = 600
+STOP_RETRY_DELAY_MS = 600
 # A worker that refused a start gets nothing for this long.
-REFUSED_PAUSE_MS = 1_500
+REFUSED_START_BACKOFF_MS = 1_500
 
 
-class Orders:
+class OrderIssuer:
     """Sends orders under one epoch.
 
     :ivar listed_by_id: the platform's newest list of workers.
@@ -39,14 +39,14 @@
     def __init__(
         self,
         epoch: int,
-        book: Book,
+        state: SchedulerState,
         planner: Planner,
         effects: Effects,
         metrics: Metrics,
     ) -> None:
         self.listed_by_id: Mapping[str, WorkerInfo] = {}
         self._epoch = epoch
-        self._book = book
+        self._state = state
         self._planner = planner
         self._effects = effects
         self._metrics = metrics
@@ -59,7 +59,7 @@
         It is taken back if it may not be ordered any more: a slow store
         may have outlasted the lease, or the permit.
         """
-        run = self._book.run(planned.task, planned.run, planned.worker_id)
+        run = self._state.run(planned.task, planned.run, planned.worker_id)
         if run is None:
             return
         job = run.task.step.job
@@ -71,7 +71,7 @@
             or deadline_ms is None
             or _is_expired(planned, run, now_ms)
         ):
-            self._book.lose_run(run)
+            self._state.lose_run(run)
             return
         order = StartOrder(
             planned.task,
@@ -86,12 +86,12 @@
 
     def stop(self, stop: PlannedStop, now_ms: int) -> None:
         """Order a stop, again if an earlier one was not answered."""
-        run = self._book.run(stop.task, stop.run, stop.worker_id)
+        run = self._state.run(stop.task, stop.run, stop.worker_id)
         info = self.listed_by_id.get(stop.worker_id)
         if run is None or info is None or run.stopped_ms is not None:
             return
         sent_ms = run.stop_sent_ms
-        if sent_ms is not None and now_ms - sent_ms < STOP_RETRY_MS:
+        if sent_ms is not None and now_ms - sent_ms < STOP_RETRY_DELAY_MS:
             return
         run.stop_sent_ms = now_ms
         log_event(
@@ -103,27 +103,27 @@
             worker=stop.worker_id,
             reason=stop.reason,
         )
-        self._effects.stop_run(
+        self._effects.order_stop(
             info, StopOrder(stop.task, stop.run, self._epoch)
         )
 
-    def refuse_start(
+    def undo_refused_start(
         self,
-        run: RunEntry,
+        run: TrackedRun,
         planned: PlannedStart,
         failure: Failure,
         now_ms: int,
     ) -> None:
         """Take a start back that a worker has surely not carried out."""
         step = run.task.step
-        self._book.lose_run(run)
+        self._state.lose_run(run)
         if failure.code is FailureCode.TICKET:
             step.tickets_by_worker.pop(planned.worker_id, None)
         elif failure.code is not FailureCode.STALE:
-            until_ms = now_ms + REFUSED_PAUSE_MS
-            self._planner.trust.avoid(planned.worker_id, until_ms)
+            until_ms = now_ms + REFUSED_START_BACKOFF_MS
+            self._planner.worker_backoff.avoid(planned.worker_id, until_ms)
 
-    def note_failed_start(
+    def record_failed_start(
         self, planned: PlannedStart, failure: Failure
     ) -> None:
         """Log and count an order to start that failed."""
@@ -141,7 +141,7 @@
         )
 
 
-def _is_expired(planned: PlannedStart, run: RunEntry, now_ms: int) -> bool:
+def _is_expired(planned: PlannedStart, run: TrackedRun, now_ms: int) -> bool:
     if not planned.ticket:
         return False
     permit = run.task.step.tickets_by_worker.get(planned.worker_id)
--- a/src/magnoliapitch/control/order_sender.py
+++ b/src/magnoliapitch/control/order_sender.py
@@ -30,7 +30,7 @@
 
 # Unanswered orders must not hold up others: 1,000 orders a second, one in
 # ten unanswered for 150 ms, and a cut zone with 40 orders on their way.
-SENDER_THREADS = 96
+SENDER_THREAD_COUNT = 96
 # An answer comes within a few milliseconds, so the first repeat is early.
 ATTEMPT_TIMEOUTS_MS = (150, 200, 350)
 
@@ -38,7 +38,7 @@
 class OrderSender:
     """Sends orders in threads of its own and posts their answers.
 
-    Orders are idempotent: a worker that has begun a run, or has ended or
+    OrderIssuer are idempotent: a worker that has begun a run, or has ended or
     stopped it, does not begin it again. So an order is repeated when no
     answer comes, which is faster than to stop the run and start another.
 
@@ -56,7 +56,7 @@
         self._clock = clock
         self._post = post
         self._metrics = metrics
-        self._pool = ThreadPoolExecutor(SENDER_THREADS, "orders")
+        self._pool = ThreadPoolExecutor(SENDER_THREAD_COUNT, "orders")
 
     def start(
         self, worker: WorkerInfo, planned: PlannedStart, order: StartOrder
@@ -65,7 +65,7 @@
         now_ms = self._clock.now_ms()
         self._pool.submit(self._start_now, worker, planned, order, now_ms)
 
-    def stop_run(self, worker: WorkerInfo, order: StopOrder) -> None:
+    def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         """Order a worker to stop a run."""
         now_ms = self._clock.now_ms()
         self._pool.submit(self._stop_now, worker, order, now_ms)
@@ -77,8 +77,8 @@
         order: StartOrder,
         given_ms: int,
     ) -> None:
-        sent_ms = self._note_sent("start", given_ms)
-        outcome = repeat_unanswered(
+        sent_ms = self._record_queue_time("start", given_ms)
+        outcome = retry_unanswered(
             lambda timeout_ms: self._workers.start(worker, order, timeout_ms)
         )
         now_ms = self._clock.now_ms()
@@ -87,8 +87,8 @@
     def _stop_now(
         self, worker: WorkerInfo, order: StopOrder, given_ms: int
     ) -> None:
-        self._note_sent("stop", given_ms)
-        outcome = repeat_unanswered(
+        self._record_queue_time("stop", given_ms)
+        outcome = retry_unanswered(
             lambda timeout_ms: self._workers.stop(worker, order, timeout_ms)
         )
         self._post(
@@ -101,13 +101,13 @@
             )
         )
 
-    def _note_sent(self, kind: str, given_ms: int) -> int:
+    def _record_queue_time(self, kind: str, given_ms: int) -> int:
         sent_ms = self._clock.now_ms()
         self._metrics.observe("order_queued", sent_ms - given_ms, kind)
         return sent_ms
 
 
-def repeat_unanswered(
+def retry_unanswered(
     call: Callable[[int], Result[int, Failure]],
 ) -> Result[int, Failure]:
     """Make an idempotent call until it is answered, a few times at most.
--- a/src/magnoliapitch/control/progress_batcher.py
+++ b/src/magnoliapitch/control/progress_batcher.py
@@ -24,13 +24,13 @@
     from magnoliapitch.control.timing import ControlTiming
     from magnoliapitch.ledger.records import LeaderRecord
     from magnoliapitch.ledger.state_table import StateTable
-    from magnoliapitch.planner.scheduler_state import Book
-    from magnoliapitch.planner.tracked import JobEntry
+    from magnoliapitch.planner.scheduler_state import SchedulerState
+    from magnoliapitch.planner.tracked import TrackedJob
     from magnoliapitch.workload.progress import JobProgress
 
 
 # Shows the others that the leader lives while it has nothing to store.
-HEARTBEAT_MS = 300
+HEARTBEAT_INTERVAL_MS = 300
 
 _STATE_BY_OUTCOME = {
     JobOutcome.COMPLETED: JobState.COMPLETED,
@@ -39,130 +39,130 @@
 }
 
 
-class ProgressStorage:
+class ProgressBatcher:
     """Collects what has changed into batches, one at a time.
 
-    :param forget: drops stored jobs that are over.
+    :param delete_jobs: drops stored jobs that are over.
     """
 
     def __init__(
         self,
-        book: Book,
-        states: StateTable,
+        state: SchedulerState,
+        state_table: StateTable,
         leader: LeaderRecord,
         timing: ControlTiming,
-        forget: Callable[[Sequence[str]], None],
+        delete_jobs: Callable[[Sequence[str]], None],
     ) -> None:
-        self._book = book
-        self._states = states
+        self._state = state
+        self._state_table = state_table
         self._leader = leader
         self._timing = timing
-        self._forget = forget
-        self._shown_ms = 0
-        self._in_commit_by_id: dict[str, JobProgress] = {}
-        self._in_commit_states: dict[str, ShownJob] = {}
+        self._delete_jobs = delete_jobs
+        self._published_ms = 0
+        self._progress_in_commit_by_id: dict[str, JobProgress] = {}
+        self._states_in_commit_by_id: dict[str, ShownJob] = {}
         # Jobs that the states do not tell of yet.
-        self._unshown: set[str] = set()
+        self._unpublished_job_ids: set[str] = set()
         # Jobs whose final state is stored.
-        self._closing: set[str] = set()
+        self._finished_job_ids: set[str] = set()
         self._ended_ms_by_job: dict[str, int] = {}
 
     def load(self, now_ms: int) -> None:
         """Begin with the states that former leaders have told."""
-        self._shown_ms = now_ms
-        for job_id in self._states.ended_ids():
+        self._published_ms = now_ms
+        for job_id in self._state_table.ended_ids():
             self._ended_ms_by_job[job_id] = now_ms
 
     def has_ended(self, job_id: str) -> bool:
         """Return whether a final state of a job is stored."""
-        shown = self._states.get(job_id)
+        shown = self._state_table.get(job_id)
         return shown is not None and shown.state in FINAL_STATES
 
-    def note_taken(self, job_id: str) -> None:
-        """Note a job that was added to the book."""
-        self._unshown.add(job_id)
-        if self._book.jobs_by_id[job_id].outcome is not JobOutcome.OPEN:
+    def record_added(self, job_id: str) -> None:
+        """Note a job that was added to the state."""
+        self._unpublished_job_ids.add(job_id)
+        if self._state.jobs_by_id[job_id].outcome is not JobOutcome.OPEN:
             # A former leader stored the end but could not tell of it.
-            self._book.dirty.add(job_id)
+            self._state.unsaved_job_ids.add(job_id)
 
     def next_batch(self, now_ms: int, has_starts: bool) -> Batch | None:
         """Return what is to be stored now, or None for nothing.
 
         :param has_starts: whether orders wait for the batch.
         """
-        is_quiet = now_ms - self._shown_ms < HEARTBEAT_MS
-        has_news = has_starts or self._book.dirty or self._unshown
+        is_quiet = now_ms - self._published_ms < HEARTBEAT_INTERVAL_MS
+        has_news = has_starts or self._state.unsaved_job_ids or self._unpublished_job_ids
         if is_quiet and not has_news:
             return None
         batch = Batch(self._progress_records(), self._state_records(now_ms))
         if batch.states:
-            self._shown_ms = now_ms
+            self._published_ms = now_ms
         return batch
 
-    def note_stored(self, now_ms: int) -> None:
+    def record_stored(self, now_ms: int) -> None:
         """Note that the last batch was stored."""
-        stored, self._in_commit_by_id = self._in_commit_by_id, {}
+        stored, self._progress_in_commit_by_id = self._progress_in_commit_by_id, {}
         for job_id, progress in stored.items():
             if progress.outcome is not JobOutcome.OPEN:
-                self._closing.add(job_id)
+                self._finished_job_ids.add(job_id)
                 self._ended_ms_by_job[job_id] = now_ms
-        for job_id, shown in self._in_commit_states.items():
-            self._states.put(job_id, shown)
-        self._in_commit_states = {}
+        for job_id, shown in self._states_in_commit_by_id.items():
+            self._state_table.put(job_id, shown)
+        self._states_in_commit_by_id = {}
 
     def _progress_records(self) -> tuple[KeyedRecord, ...]:
-        closed = self._close_jobs()
-        self._unshown |= self._book.dirty
-        self._in_commit_by_id = {
-            job_id: self._book.progress(job_id)
-            for job_id in sorted(self._book.dirty)
-            if job_id in self._book.jobs_by_id
+        closed = self._remove_finished_jobs()
+        self._unpublished_job_ids |= self._state.unsaved_job_ids
+        self._progress_in_commit_by_id = {
+            job_id: self._state.progress(job_id)
+            for job_id in sorted(self._state.unsaved_job_ids)
+            if job_id in self._state.jobs_by_id
         }
-        self._book.dirty.clear()
+        self._state.unsaved_job_ids.clear()
         return (
             *(KeyedRecord(PROGRESS_PREFIX + job_id, b"") for job_id in closed),
             *(
                 KeyedRecord(
                     PROGRESS_PREFIX + job_id, encode_progress(progress)
                 )
-                for job_id, progress in self._in_commit_by_id.items()
+                for job_id, progress in self._progress_in_commit_by_id.items()
             ),
         )
 
-    def _close_jobs(self) -> list[str]:
+    def _remove_finished_jobs(self) -> list[str]:
         """Forget jobs whose final state is stored and that run nowhere."""
         closed = [
             job_id
-            for job_id in self._closing
-            if job_id not in self._book.dirty and not self._has_runs(job_id)
+            for job_id in self._finished_job_ids
+            if job_id not in self._state.unsaved_job_ids and not self._has_runs(job_id)
         ]
         for job_id in closed:
-            self._closing.discard(job_id)
-            self._book.drop_job(job_id)
+            self._finished_job_ids.discard(job_id)
+            self._state.remove_job(job_id)
         if closed:
-            self._forget(closed)
+            self._delete_jobs(closed)
         return closed
 
     def _has_runs(self, job_id: str) -> bool:
-        job = self._book.jobs_by_id.get(job_id)
+        job = self._state.jobs_by_id.get(job_id)
         return job is not None and any(
-            step.live_runs() for step in job.all_steps()
+            step.all_active_runs() for step in job.all_steps()
         )
 
     def _state_records(self, now_ms: int) -> tuple[KeyedRecord, ...]:
-        unshown, self._unshown = self._unshown, set()
+        unshown, self._unpublished_job_ids = self._unpublished_job_ids, set()
         for job_id in sorted(unshown):
-            job = self._book.jobs_by_id.get(job_id)
+            job = self._state.jobs_by_id.get(job_id)
             if job is None:
                 continue
             shown = ShownJob(_state_of(job), job.spec.queue)
-            if self._states.get(job_id) != shown:
-                self._in_commit_states[job_id] = shown
+            if self._state_table.get(job_id) != shown:
+                self._states_in_commit_by_id[job_id] = shown
         records = [
             KeyedRecord(STATE_PREFIX + job_id, shown.encode())
-            for job_id, shown in self._in_commit_states.items()
+            for job_id, shown in self._states_in_commit_by_id.items()
         ]
-        if not records and now_ms - self._shown_ms >= HEARTBEAT_MS:
+        if not records and now_ms - self._published_ms >= HEARTBEAT_INTERVAL_MS:
             leader = encode_leader(self._leader)
             records = [KeyedRecord(LEADER_KEY, leader)]
         return (*records, *self._expired_states(now_ms))
@@ -173,12 +173,12 @@
             if now_ms - ended_ms < self._timing.keep_states_ms:
                 break
             del self._ended_ms_by_job[job_id]
-            self._states.put(job_id, None)
+            self._state_table.put(job_id, None)
             expired.append(KeyedRecord(STATE_PREFIX + job_id, b""))
         return expired
 
 
-def _state_of(job: JobEntry) -> JobState:
+def _state_of(job: TrackedJob) -> JobState:
     if job.outcome is not JobOutcome.OPEN:
         return _STATE_BY_OUTCOME[job.outcome]
     return JobState.RUNNING if job.has_begun else JobState.PENDING
--- a/src/magnoliapitch/control/reachability.py
+++ b/src/magnoliapitch/control/reachability.py
@@ -12,10 +12,10 @@
 
 
 # A worker that was not reached for this long gets no new work.
-REPORT_MAX_AGE_MS = 1_800
+MAX_ANSWER_AGE_MS = 1_800
 
 
-class Contacts:
+class WorkerReachability:
     """What the leader knows of its contact with each worker.
 
     :param claimed_ms: when the leader's claim was stored.
@@ -28,33 +28,33 @@
         self._reported_ms_by_worker: dict[str, int] = {}
         self._silent_ms_by_worker: dict[str, int] = {}
 
-    def note_answer(
+    def record_answer(
         self, worker_id: str, clock_ms: int, sent_ms: int, received_ms: int
     ) -> None:
         """Note an answer with the worker's clock."""
-        self._lease(worker_id).note_clock(clock_ms, sent_ms, received_ms)
+        self._lease(worker_id).record_clock(clock_ms, sent_ms, received_ms)
         if sent_ms >= self._silent_ms_by_worker.get(worker_id, 0):
             self._reported_ms_by_worker[worker_id] = received_ms
 
-    def note_unanswered(self, worker_id: str) -> None:
+    def record_unanswered_renewal(self, worker_id: str) -> None:
         """Note a look that was not answered."""
         self._reported_ms_by_worker.pop(worker_id, None)
 
-    def note_silent(self, worker_id: str, now_ms: int) -> None:
+    def record_unanswered_order(self, worker_id: str, now_ms: int) -> None:
         """Note an unanswered order; only a later look counts from now on."""
         self._silent_ms_by_worker[worker_id] = now_ms
-        self.note_unanswered(worker_id)
+        self.record_unanswered_renewal(worker_id)
 
     def is_answering(self, worker_id: str) -> bool:
         """Return whether the last call was answered."""
         return worker_id in self._reported_ms_by_worker
 
-    def is_reached(self, worker_id: str, now_ms: int) -> bool:
+    def is_reachable(self, worker_id: str, now_ms: int) -> bool:
         """Return whether a worker answered a short while ago."""
         reported_ms = self._reported_ms_by_worker.get(worker_id)
         return (
             reported_ms is not None
-            and now_ms - reported_ms <= REPORT_MAX_AGE_MS
+            and now_ms - reported_ms <= MAX_ANSWER_AGE_MS
         )
 
     def deadline(self, worker_id: str, now_ms: int) -> int | None:
@@ -70,9 +70,9 @@
             return None
         return lease.next_deadline(now_ms)
 
-    def lease_over_ms(self, worker_id: str) -> int:
+    def leases_expired_at_ms(self, worker_id: str) -> int:
         """Return when every lease of a worker is surely over."""
-        return self._lease(worker_id).surely_over_ms()
+        return self._lease(worker_id).all_leases_expired_at_ms()
 
     def forget(self, worker_id: str) -> None:
         """Forget a worker that is gone."""
@@ -83,7 +83,7 @@
     def _lease(self, worker_id: str) -> WorkerLease:
         lease = self._lease_by_worker.get(worker_id)
         if lease is None:
-            over_ms = self._claimed_ms + self._timing.takeover_ms
-            lease = WorkerLease(self._timing, over_ms)
+            inherited_leases_end_ms = self._claimed_ms + self._timing.takeover_ms
+            lease = WorkerLease(self._timing, inherited_leases_end_ms)
             self._lease_by_worker[worker_id] = lease
         return lease
--- a/src/magnoliapitch/control/renewal_pacing.py
+++ b/src/magnoliapitch/control/renewal_pacing.py
@@ -6,10 +6,10 @@
 
 
 # A look without a wait; one that is answered gives the worker's clock.
-SHORT_LOOK_WAIT_MS = 0
+IMMEDIATE_WAIT_MS = 0
 WAIT_MS = 1_000
 TIMEOUT_MS = 500
-FIRST_PAUSE_MS = 20
+FIRST_BACKOFF_MS = 20
 PAUSE_MS = 300
 # What ended while an answer was lost is known only after the next look, so
 # looks are short on a link that has lost one lately.
@@ -18,7 +18,7 @@
 LOSSY_TIMEOUT_MS = 300
 
 
-class Look(NamedTuple):
+class RenewalTiming(NamedTuple):
     """Times of the next look, in milliseconds.
 
     :param wait_ms: how long the worker may wait for an end.
@@ -29,7 +29,7 @@
     timeout_ms: int
 
 
-class LinkPace:
+class RenewalPacing:
     """Learns from the looks at one worker how to make the next ones."""
 
     def __init__(self) -> None:
@@ -38,22 +38,22 @@
         self._without_lease = 0
         self._is_first = True
 
-    def next_look(self, now_ms: int) -> Look:
+    def next_renewal(self, now_ms: int) -> RenewalTiming:
         """Return the times of a look that begins now."""
         if self._is_first or self._lost_in_turn:
-            return Look(SHORT_LOOK_WAIT_MS, TIMEOUT_MS)
+            return RenewalTiming(IMMEDIATE_WAIT_MS, TIMEOUT_MS)
         if self._lost_ms is not None and now_ms - self._lost_ms < LOSSY_MS:
-            return Look(LOSSY_WAIT_MS, LOSSY_TIMEOUT_MS)
-        return Look(WAIT_MS, TIMEOUT_MS)
+            return RenewalTiming(LOSSY_WAIT_MS, LOSSY_TIMEOUT_MS)
+        return RenewalTiming(WAIT_MS, TIMEOUT_MS)
 
-    def note_lost(self, now_ms: int) -> int:
+    def record_unanswered(self, now_ms: int) -> int:
         """Note an unanswered look and return the pause after it."""
         self._is_first = False
         self._lost_ms = now_ms
         self._lost_in_turn += 1
-        return FIRST_PAUSE_MS if self._lost_in_turn == 1 else PAUSE_MS
+        return FIRST_BACKOFF_MS if self._lost_in_turn == 1 else PAUSE_MS
 
-    def note_answered(self, *, gave_lease: bool) -> int:
+    def record_answered(self, *, lease_granted: bool) -> int:
         """Note an answered look and return the pause after it.
 
         Without a lease the worker does not wait. The first answer of a
@@ -61,8 +61,8 @@
         """
         self._is_first = False
         self._lost_in_turn = 0
-        if gave_lease:
+        if lease_granted:
             self._without_lease = 0
             return 0
         self._without_lease += 1
-        return FIRST_PAUSE_MS if self._without_lease == 1 else PAUSE_MS
+        return FIRST_BACKOFF_MS if self._without_lease == 1 else PAUSE_MS
--- a/src/magnoliapitch/control/timing.py
+++ b/src/magnoliapitch/control/timing.py
@@ -6,26 +6,26 @@
 
 
 # Workers' clocks may be this much slower than ours.
-CLOCK_RATE_MIN = 0.98
+MIN_CLOCK_RATE_RATIO = 0.98
 # Covers timers that fire late and rounding to whole milliseconds.
-LEASE_SLACK_MS = 300
+LEASE_EXPIRY_MARGIN_MS = 300
 
 
 class ControlTiming(NamedTuple):
     """Times of one deployment, in milliseconds.
 
     :param lease_ms: length of the leases that workers are given.
-    :param silence_ms: how long after its last stored record a leader may
+    :param max_leader_silence_ms: how long after its last stored record a leader may
         go on giving leases and orders.
     :param keep_states_ms: how long the state of an ended job is told.
     """
 
     lease_ms: int
-    silence_ms: int = 2_500
+    max_leader_silence_ms: int = 2_500
     keep_states_ms: int = 130_000
 
     @property
     def takeover_ms(self) -> int:
         """Return how long orders of a replaced leader may have effect."""
-        longest_ms = (self.silence_ms + self.lease_ms) / CLOCK_RATE_MIN
-        return int(longest_ms) + LEASE_SLACK_MS
+        longest_ms = (self.max_leader_silence_ms + self.lease_ms) / MIN_CLOCK_RATE_RATIO
+        return int(longest_ms) + LEASE_EXPIRY_MARGIN_MS
--- a/src/magnoliapitch/planner/__init__.py
+++ b/src/magnoliapitch/planner/__init__.py
@@ -1,19 +1,19 @@
-"""Which tasks start where and when, decided on a book of jobs."""
+"""Placement of tasks on workers, planned from the scheduler's state."""
 
 from __future__ import annotations
 
 from magnoliapitch.planner.plan import Plan
-from magnoliapitch.planner.plan import PlannedAsk
+from magnoliapitch.planner.plan import PlannedPermitRequest
 from magnoliapitch.planner.plan import PlannedStart
 from magnoliapitch.planner.plan import PlannedStop
 from magnoliapitch.planner.planner import Planner
-from magnoliapitch.planner.scheduler_state import Book
+from magnoliapitch.planner.scheduler_state import SchedulerState
 
 
 __all__ = [
-    "Book",
+    "SchedulerState",
     "Plan",
-    "PlannedAsk",
+    "PlannedPermitRequest",
     "PlannedStart",
     "PlannedStop",
     "Planner",
--- a/src/magnoliapitch/planner/candidates.py
+++ b/src/magnoliapitch/planner/candidates.py
@@ -1,4 +1,4 @@
-"""Room on workers during one round of decisions."""
+"""Workers that may take tasks during one planning round."""
 
 from __future__ import annotations
 
@@ -9,95 +9,99 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-    from magnoliapitch.planner.tracked import StepEntry
-    from magnoliapitch.planner.tracked import WorkerEntry
+    from magnoliapitch.planner.tracked import TrackedStep
+    from magnoliapitch.planner.tracked import TrackedWorker
     from magnoliapitch.resource import Resources
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-class Slot:
-    """A worker's room that is left in this round."""
+class Candidate:
+    """A worker and its free capacity during one planning round.
+
+    :ivar free: capacity that is left for the rest of the round.
+    """
 
     __slots__ = ("free", "info", "worker")
 
-    def __init__(self, worker: WorkerEntry, info: WorkerInfo) -> None:
+    def __init__(self, worker: TrackedWorker, info: WorkerInfo) -> None:
         self.worker = worker
         self.info = info
         self.free: Resources = worker.free
 
-    def take(self, amount: Resources) -> None:
-        """Use up room for the rest of the round."""
+    def reserve(self, amount: Resources) -> None:
+        """Reserve capacity for the rest of the round."""
         self.free = self.free.minus(amount)
 
-    def give_back(self, amount: Resources) -> None:
-        """Undo a use of room."""
+    def release(self, amount: Resources) -> None:
+        """Release capacity that was reserved in this round."""
         self.free = self.free.plus(amount)
 
 
-class Room:
-    """The room of every worker that takes work.
+class CandidateWorkers:
+    """Every worker that takes new tasks, with its free capacity.
 
-    :ivar slots_by_id: by the worker's id.
+    :ivar candidates_by_id: candidates by worker id.
     """
 
-    def __init__(self, workers: Iterable[WorkerEntry]) -> None:
-        self.slots_by_id: dict[str, Slot] = {
-            worker.worker_id: Slot(worker, worker.info)
+    def __init__(self, workers: Iterable[TrackedWorker]) -> None:
+        self.candidates_by_id: dict[str, Candidate] = {
+            worker.worker_id: Candidate(worker, worker.info)
             for worker in workers
             if worker.is_usable
             and worker.info is not None
             and not worker.info.is_draining
         }
-        self._emptiest_first: list[Slot] | None = None
+        self._most_free_first: list[Candidate] | None = None
 
-    def eligible(self, step: StepEntry) -> Iterator[Slot]:
-        """Return the workers that may ever run a step, advice apart.
+    def eligible(self, step: TrackedStep) -> Iterator[Candidate]:
+        """Return the workers that could run a step if the advisor permits.
 
-        Those that had the most room when the round began come first.
+        They are ordered by the free CPU at the first call in the round,
+        the most first.
         """
-        if self._emptiest_first is None:
-            self._emptiest_first = sorted(
-                self.slots_by_id.values(),
-                key=lambda slot: -slot.free.cpu_millis,
+        if self._most_free_first is None:
+            self._most_free_first = sorted(
+                self.candidates_by_id.values(),
+                key=lambda candidate: -candidate.free.cpu_millis,
             )
-        return (slot for slot in self._emptiest_first if _allows(slot, step))
+        return (candidate for candidate in self._most_free_first if _is_eligible(candidate, step))
 
-    def good(self, step: StepEntry) -> list[Slot]:
-        """Return the workers that the advisor has permitted."""
-        slots = (self.slots_by_id.get(worker_id) for worker_id in step.good)
-        return [slot for slot in slots if slot is not None]
+    def permitted(self, step: TrackedStep) -> list[Candidate]:
+        """Return the workers that the advisor has permitted for a step."""
+        candidates = (self.candidates_by_id.get(worker_id) for worker_id in step.permitted_worker_ids)
+        return [candidate for candidate in candidates if candidate is not None]
 
 
-def _allows(slot: Slot, step: StepEntry) -> bool:
+def _is_eligible(candidate: Candidate, step: TrackedStep) -> bool:
     return (
-        slot.info.service == step.job.queue.service
-        and (not step.spec.label or step.spec.label in slot.info.labels)
-        and step.charge.fits(slot.info.capacity)
+        candidate.info.service == step.job.queue.service
+        and (not step.spec.label or step.spec.label in candidate.info.labels)
+        and step.reservation.fits(candidate.info.capacity)
     )
 
 
-def spare_tasks(slot: Slot, step: StepEntry) -> int:
-    """Return how many tasks of a step a worker has room for."""
-    count = _tasks_within(slot.free, step)
+def free_task_count(candidate: Candidate, step: TrackedStep) -> int:
+    """Return how many tasks of a step fit a worker's free capacity."""
+    count = _task_count_within(candidate.free, step)
     if count > 0 and step.spec.max_per_worker:
-        used = sum(run.task.step is step for run in slot.worker.runs)
+        used = sum(run.task.step is step for run in candidate.worker.runs)
         count = min(count, step.spec.max_per_worker - used)
     return max(0, count)
 
 
-def tasks_when_empty(slot: Slot, step: StepEntry) -> int:
-    """Return how many tasks of a step a worker takes that runs nothing."""
-    count = _tasks_within(slot.info.capacity, step)
+def idle_task_count(candidate: Candidate, step: TrackedStep) -> int:
+    """Return how many tasks of a step would fit an idle worker."""
+    count = _task_count_within(candidate.info.capacity, step)
     return min(count, step.spec.max_per_worker or count)
 
 
-def _tasks_within(amount: Resources, step: StepEntry) -> int:
-    charge = step.charge
+def _task_count_within(amount: Resources, step: TrackedStep) -> int:
+    reservation = step.reservation
     count = step.spec.task_count
-    if charge.cpu_millis:
-        count = min(count, amount.cpu_millis // charge.cpu_millis)
-    if charge.memory_mb:
-        count = min(count, amount.memory_mb // charge.memory_mb)
-    if charge.accelerators:
-        count = min(count, amount.accelerators // charge.accelerators)
+    if reservation.cpu_millis:
+        count = min(count, amount.cpu_millis // reservation.cpu_millis)
+    if reservation.memory_mb:
+        count = min(count, amount.memory_mb // reservation.memory_mb)
+    if reservation.accelerators:
+        count = min(count, amount.accelerators // reservation.accelerators)
     return count
--- a/src/magnoliapitch/planner/plan.py
+++ b/src/magnoliapitch/planner/plan.py
@@ -1,4 +1,4 @@
-"""What the planner wants to be done."""
+"""Actions that the planner decides on in one round."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class PlannedStart(NamedTuple):
-    """A run that is to be ordered.
+    """A run that a worker is to be ordered to start.
 
     :param run: number of the run.
-    :param ticket: the advisor's permission, or empty.
+    :param ticket: ticket of the advisor's permit; empty if the queue needs
+        none.
     """
 
     task: TaskKey
@@ -22,9 +23,9 @@
 
 
 class PlannedStop(NamedTuple):
-    """A run that is to be stopped.
+    """A run that a worker is to be ordered to stop.
 
-    :param reason: why, for the log.
+    :param reason: reason that the log gives.
     """
 
     task: TaskKey
@@ -33,21 +34,22 @@
     reason: str
 
 
-class PlannedAsk(NamedTuple):
-    """Workers that the advisor is to be asked about.
+class PlannedPermitRequest(NamedTuple):
+    """A call to the advisor for permits to run a step on some workers.
 
-    :param cost_ms: expected duration of the call.
+    :param priority: priority of the step's queue.
+    :param expected_call_ms: expected duration of the call.
     """
 
     step: StepKey
     worker_ids: tuple[str, ...]
     priority: int
-    cost_ms: float
+    expected_call_ms: float
 
 
 class Plan(NamedTuple):
-    """Actions of one round of decisions."""
+    """Actions of one planning round."""
 
     starts: tuple[PlannedStart, ...] = ()
     stops: tuple[PlannedStop, ...] = ()
-    asks: tuple[PlannedAsk, ...] = ()
+    permit_requests: tuple[PlannedPermitRequest, ...] = ()
--- a/src/magnoliapitch/planner/planner.py
+++ b/src/magnoliapitch/planner/planner.py
@@ -1,20 +1,20 @@
-"""Decides in rounds which tasks start where."""
+"""Planning rounds: which tasks start on which workers."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.planner.candidates import Room
-from magnoliapitch.planner.candidates import Slot
-from magnoliapitch.planner.candidates import spare_tasks
-from magnoliapitch.planner.candidates import tasks_when_empty
-from magnoliapitch.planner.duration import Durations
+from magnoliapitch.planner.candidates import CandidateWorkers
+from magnoliapitch.planner.candidates import Candidate
+from magnoliapitch.planner.candidates import free_task_count
+from magnoliapitch.planner.candidates import idle_task_count
+from magnoliapitch.planner.duration import DurationEstimator
 from magnoliapitch.planner.plan import Plan
-from magnoliapitch.planner.plan import PlannedAsk
+from magnoliapitch.planner.plan import PlannedPermitRequest
 from magnoliapitch.planner.plan import PlannedStart
 from magnoliapitch.planner.plan import PlannedStop
 from magnoliapitch.planner.ranking import rank_of
-from magnoliapitch.planner.worker_backoff import Trust
+from magnoliapitch.planner.worker_backoff import WorkerBackoff
 from magnoliapitch.resource import NO_RESOURCES
 from magnoliapitch.workload.progress import JobOutcome
 
@@ -22,313 +22,336 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from magnoliapitch.planner.scheduler_state import Book
-    from magnoliapitch.planner.tracked import RunEntry
-    from magnoliapitch.planner.tracked import StepEntry
-
-
-# A permit must outlast the way of the start to the worker.
-TICKET_RESERVE_MS = 400
-# The advisor accepts no more workers in one call.
-CALL_MAX_WORKERS = 100
-# A call takes long whatever it names, so that few workers are no gain.
-ASK_MIN_WORKERS = 30
-# About so many workers are permitted, and so many tasks are to fit on them.
-EXPECTED_GOOD_SHARE = 0.35
-EXPECTED_ROOM = 1.5
-# Gangs that are kept ready to start; each needs a call all the while.
-PREPARED_MAX_GANGS = 4
-PREPARED_MAX_MS = 20_000
-# Share of a worker's load that is expected to end soon.
-SOON_SHARE = 0.5
-# Bounds a round when very much waits.
-ROUND_MAX_STEPS = 150
-# Ticket and end of its validity where the advisor gave none.
+    from magnoliapitch.planner.scheduler_state import SchedulerState
+    from magnoliapitch.planner.tracked import TrackedRun
+    from magnoliapitch.planner.tracked import TrackedStep
+
+
+# A ticket must still be valid when the start order reaches the worker.
+TICKET_MIN_REMAINING_MS = 400
+# Limit of the advisor.
+MAX_WORKERS_PER_CALL = 100
+# Most of a call's time does not depend on the number of workers, so a call
+# about fewer of them saves little.
+MIN_WORKERS_PER_CALL = 30
+# Share of the workers in a call that the advisor is expected to permit.
+EXPECTED_PERMITTED_SHARE = 0.35
+# Free capacity that the permitted workers should have together, as a multiple
+# of what the waiting tasks of the step need.
+CAPACITY_MARGIN_RATIO = 1.5
+# Gangs that do not fit yet and for which capacity is reserved. The limit is
+# low because each occupies an advisor call most of the time, to renew tickets.
+MAX_GANGS_WITH_RESERVED_CAPACITY = 4
+# After this time a waiting gang no longer keeps capacity from other steps.
+MAX_CAPACITY_RESERVATION_MS = 20_000
+# Share of a worker's reserved CPU that is expected to become free soon.
+SOON_FREED_SHARE = 0.5
+# Bounds the duration of a round when very many steps wait.
+MAX_STEPS_PER_ROUND = 150
+# Stands for a missing ticket: empty text, and expired since time 0.
 NO_TICKET = ("", 0)
 
 
 class Planner:
-    """Plans rounds on a book; remembers what it learned of durations."""
+    """Plans rounds; keeps expected durations and failures between them."""
 
     def __init__(self) -> None:
-        self.durations = Durations()
-        self.trust = Trust()
+        self.duration_estimator = DurationEstimator()
+        self.worker_backoff = WorkerBackoff()
 
-    def note_failed(self, run: RunEntry) -> None:
-        """Remember where a run failed, until another shows whose fault."""
-        run.task.step.failed_on.add(run.worker_id)
+    def record_failed(self, run: TrackedRun) -> None:
+        """Record the worker of a failed run.
 
-    def note_done(self, run: RunEntry, now_ms: int) -> dict[str, int]:
-        """Learn from a run that was done.
+        Whether the worker is to blame is decided when a later run of the
+        step is done.
+        """
+        run.task.step.failed_worker_ids.add(run.worker_id)
+
+    def record_done(self, run: TrackedRun, now_ms: int) -> dict[str, int]:
+        """Update expected durations and back-off from a run that was done.
 
-        What fails on one worker and is done on another was the first
-        one's fault; what fails everywhere is the job's own.
+        A step that failed on one worker and is done on another counts as a
+        failure of the first worker. A step that fails on every worker is
+        put down to its job.
 
-        :return: how long workers are avoided from now on, by id.
+        :return: how long workers are avoided from now on, in ms by id.
         """
-        self.trust.note_done(run.worker_id)
+        self.worker_backoff.record_done(run.worker_id)
         step = run.task.step
         pause_ms_by_worker = {
-            worker_id: self.trust.note_failed(worker_id, now_ms)
-            for worker_id in step.failed_on - {run.worker_id}
+            worker_id: self.worker_backoff.record_failed(worker_id, now_ms)
+            for worker_id in step.failed_worker_ids - {run.worker_id}
         }
-        step.failed_on.clear()
-        self._learn_duration(run, now_ms)
+        step.failed_worker_ids.clear()
+        self._add_duration_sample(run, now_ms)
         return {name: ms for name, ms in pause_ms_by_worker.items() if ms}
 
-    def _learn_duration(self, run: RunEntry, now_ms: int) -> None:
+    def _add_duration_sample(self, run: TrackedRun, now_ms: int) -> None:
         if run.started_ms is not None and not run.resumed_percent:
-            self.durations.learn(
+            self.duration_estimator.add_sample(
                 run.task.step.job.queue.name, now_ms - run.ordered_ms
             )
 
     def plan(
         self,
-        book: Book,
+        state: SchedulerState,
         now_ms: int,
         wall_ms: int,
-        asks_max: int = ROUND_MAX_STEPS,
+        max_calls: int = MAX_STEPS_PER_ROUND,
     ) -> Plan:
-        """Return the actions of one round.
+        """Return the actions of one planning round.
 
-        :param now_ms: time by the clock of the book's times.
+        :param now_ms: current time, by the clock that the state's times
+            were taken from.
         :param wall_ms: wall-clock time, ms since 1970.
-        :param asks_max: calls to the advisor that can be made now.
+        :param max_calls: number of advisor calls that can be started now.
         """
-        book.release_due(now_ms, wall_ms)
-        stops = tuple(map(_stop_of, book.runs_to_stop.values()))
-        if not book.waiting_steps:
+        state.open_due_steps(now_ms, wall_ms)
+        stops = tuple(map(_planned_stop, state.runs_to_stop.values()))
+        if not state.waiting_steps:
             return Plan(stops=stops)
-        round_ = _Round(book, now_ms, asks_max)
+        planning_round = _PlanningRound(state, now_ms, max_calls)
         ranked = sorted(
-            (rank_of(step, self.durations, now_ms), step.key)
-            for step in book.waiting_steps.values()
+            (rank_of(step, self.duration_estimator, now_ms), step.key)
+            for step in state.waiting_steps.values()
         )
-        for _, key in ranked[:ROUND_MAX_STEPS]:
-            round_.place(book.waiting_steps[key])
-        return Plan(tuple(round_.starts), stops, tuple(round_.asks))
+        for _, key in ranked[:MAX_STEPS_PER_ROUND]:
+            planning_round.place(state.waiting_steps[key])
+        return Plan(tuple(planning_round.starts), stops, tuple(planning_round.permit_requests))
 
 
-class _Round:
-    def __init__(self, book: Book, now_ms: int, asks_max: int) -> None:
+class _PlanningRound:
+    def __init__(self, state: SchedulerState, now_ms: int, max_calls: int) -> None:
         self.starts: list[PlannedStart] = []
-        self.asks: list[PlannedAsk] = []
+        self.permit_requests: list[PlannedPermitRequest] = []
         self._now_ms = now_ms
-        self._asks_max = asks_max
-        self._room = Room(book.workers_by_id.values())
-        self._gangs_ahead = 0
+        self._max_calls = max_calls
+        self._workers = CandidateWorkers(state.workers_by_id.values())
+        self._gangs_with_reserved_capacity = 0
+
+    def place(self, step: TrackedStep) -> None:
+        """Plan starts for the waiting tasks of a step that fit.
 
-    def place(self, step: StepEntry) -> None:
-        """Start the waiting tasks of a step as far as there is room."""
+        A gang is started as a whole or not at all. Advisor calls are
+        planned for the workers that lack a valid ticket.
+        """
         is_gang = step.spec.is_gang
-        if is_gang and step.waiting < step.spec.task_count:
+        if is_gang and step.waiting_count < step.spec.task_count:
             return
-        slots = self._candidates(step)
-        chosen = self._choose(step, slots) if slots else []
-        if is_gang and len(chosen) < step.waiting:
-            self._prepare(step, slots)
+        candidates = self._allowed_candidates(step)
+        chosen = self._choose(step, candidates) if candidates else []
+        if is_gang and len(chosen) < step.waiting_count:
+            self._prepare_gang(step, candidates)
             return
-        lacking = [slot for slot in chosen if not self._has_ticket(step, slot)]
-        if lacking and is_gang:
-            lacking = self._with_spares(step, chosen, slots)
-        self._ask(step, lacking)
+        without_ticket = [candidate for candidate in chosen if not self._has_ticket(step, candidate)]
+        if without_ticket and is_gang:
+            without_ticket = self._with_spare_candidates(step, chosen, candidates)
+        self._add_permit_request(step, without_ticket)
         if not chosen:
-            self._ask_more(step)
-        if lacking and is_gang:
+            self._ask_about_unasked(step)
+        if without_ticket and is_gang:
             return
-        self._start(step, [slot for slot in chosen if slot not in lacking])
+        self._start(step, [candidate for candidate in chosen if candidate not in without_ticket])
 
-    def _prepare(self, step: StepEntry, slots: list[Slot]) -> None:
-        """Let a gang that does not fit yet start as soon as it does.
+    def _prepare_gang(self, step: TrackedStep, candidates: list[Candidate]) -> None:
+        """Renew tickets and reserve capacity for a gang that does not fit.
 
-        Permits take long to get and soon expire. So the first gangs keep
-        theirs fresh on every worker that may run them, and keep later
-        steps away from the workers on which they will probably fit.
+        Permits take long to get and expire soon. So the gangs that rank
+        first have their tickets renewed on every worker that may run them,
+        and later steps are kept away from the workers on which these gangs
+        will probably fit. They can then start as soon as they fit.
         """
-        self._ask_more(step)
-        if self._gangs_ahead >= PREPARED_MAX_GANGS:
+        self._ask_about_unasked(step)
+        if self._gangs_with_reserved_capacity >= MAX_GANGS_WITH_RESERVED_CAPACITY:
             return
-        if not self._may_fit_soon(step, slots):
+        if not self._may_fit_when_idle(step, candidates):
             return
-        self._gangs_ahead += 1
-        if not self._has_fresh_tickets(step, slots):
-            self._ask(step, sorted(slots, key=_emptiest))
-        self._keep_clear(step, slots, step.waiting)
+        self._gangs_with_reserved_capacity += 1
+        if not self._has_fresh_tickets(step, candidates):
+            self._add_permit_request(step, sorted(candidates, key=_most_free_cpu_first))
+        self._reserve_capacity(step, candidates, step.waiting_count)
 
-    def _may_fit_soon(self, step: StepEntry, slots: list[Slot]) -> bool:
-        """Return whether keeping room for a gang can be of use.
+    def _may_fit_when_idle(self, step: TrackedStep, candidates: list[Candidate]) -> bool:
+        """Return whether reserving capacity for a gang can be of use.
 
-        A gang that is too wide for its workers, or waits for room that
-        services never give back, must not keep others from theirs.
+        A gang that has too many tasks for its permitted workers, or waits
+        for capacity that long-running services never free, must not keep
+        capacity from other steps.
         """
         ready_ms = step.ready_ms if step.ready_ms is not None else self._now_ms
-        if self._now_ms - ready_ms > PREPARED_MAX_MS:
+        if self._now_ms - ready_ms > MAX_CAPACITY_RESERVATION_MS:
             return False
-        room = sum(tasks_when_empty(slot, step) for slot in slots)
-        return room >= step.waiting
+        fitting_count = sum(idle_task_count(candidate, step) for candidate in candidates)
+        return fitting_count >= step.waiting_count
 
-    def _keep_clear(
-        self, step: StepEntry, slots: list[Slot], count: int
+    def _reserve_capacity(
+        self, step: TrackedStep, candidates: list[Candidate], count: int
     ) -> None:
-        """Keep later steps of this round away from workers."""
-        expected = 0
-        for slot in sorted(slots, key=_emptiest):
-            if expected >= count:
+        """Keep later steps of this round away from workers.
+
+        :param count: tasks that should fit on these workers soon.
+        """
+        expected_count = 0
+        for candidate in sorted(candidates, key=_most_free_cpu_first):
+            if expected_count >= count:
                 break
-            expected += _tasks_soon(slot, step)
-            slot.free = NO_RESOURCES
-
-    def _has_fresh_tickets(self, step: StepEntry, slots: list[Slot]) -> bool:
-        """Return whether most permits outlast the next call for them."""
-        renewal_ms = _cost_ms(step, min(len(slots), CALL_MAX_WORKERS))
-        needed_ms = self._now_ms + TICKET_RESERVE_MS + renewal_ms
-        fresh = sum(
-            step.tickets_by_worker.get(slot.worker.worker_id, NO_TICKET)[1]
-            >= needed_ms
-            for slot in slots
+            expected_count += _expected_task_count_soon(candidate, step)
+            candidate.free = NO_RESOURCES
+
+    def _has_fresh_tickets(self, step: TrackedStep, candidates: list[Candidate]) -> bool:
+        """Return whether at least half the tickets outlast their renewal."""
+        renewal_ms = _expected_call_ms(step, min(len(candidates), MAX_WORKERS_PER_CALL))
+        min_valid_until_ms = self._now_ms + TICKET_MIN_REMAINING_MS + renewal_ms
+        fresh_count = sum(
+            step.tickets_by_worker.get(candidate.worker.worker_id, NO_TICKET)[1]
+            >= min_valid_until_ms
+            for candidate in candidates
         )
-        return fresh * 2 >= len(slots)
+        return fresh_count * 2 >= len(candidates)
 
-    def _candidates(self, step: StepEntry) -> list[Slot]:
+    def _allowed_candidates(self, step: TrackedStep) -> list[Candidate]:
         if step.job.queue.advice is None:
-            return list(self._room.eligible(step))
-        if not step.asked:
-            self._ask_more(step)
+            return list(self._workers.eligible(step))
+        if not step.asked_worker_ids:
+            self._ask_about_unasked(step)
             return []
-        return self._room.good(step)
+        return self._workers.permitted(step)
 
-    def _has_ticket(self, step: StepEntry, slot: Slot) -> bool:
+    def _has_ticket(self, step: TrackedStep, candidate: Candidate) -> bool:
         if step.job.queue.advice is None:
             return True
         _, valid_until_ms = step.tickets_by_worker.get(
-            slot.worker.worker_id, NO_TICKET
+            candidate.worker.worker_id, NO_TICKET
         )
-        return valid_until_ms >= self._now_ms + TICKET_RESERVE_MS
-
-    def _ask_more(self, step: StepEntry) -> None:
-        """Ask about workers that the advisor was not asked about yet."""
-        if self._can_ask(step):
-            unasked = (
-                slot
-                for slot in self._room.eligible(step)
-                if slot.worker.worker_id not in step.asked
+        return valid_until_ms >= self._now_ms + TICKET_MIN_REMAINING_MS
+
+    def _ask_about_unasked(self, step: TrackedStep) -> None:
+        """Plan a call about workers that the advisor was not asked about."""
+        if self._can_call_advisor(step):
+            not_asked = (
+                candidate
+                for candidate in self._workers.eligible(step)
+                if candidate.worker.worker_id not in step.asked_worker_ids
             )
-            self._ask(step, _enough(step, unasked))
+            self._add_permit_request(step, _enough_candidates(step, not_asked))
 
-    def _with_spares(
-        self, step: StepEntry, chosen: list[Slot], slots: list[Slot]
-    ) -> list[Slot]:
-        """Return the workers to ask about together for a whole gang.
+    def _with_spare_candidates(
+        self, step: TrackedStep, chosen: list[Candidate], candidates: list[Candidate]
+    ) -> list[Candidate]:
+        """Return the workers of one advisor call for a whole gang.
 
-        Tickets that were got one after the other would expire in turn.
-        Spares make up for room that is gone when the answer comes.
+        Tickets from several calls would expire one after the other, so all
+        are requested together. Spare workers replace those whose capacity
+        is taken by the time the answer arrives.
         """
         spares = [
-            slot
-            for slot in slots
-            if slot not in chosen and spare_tasks(slot, step)
+            candidate
+            for candidate in candidates
+            if candidate not in chosen and free_task_count(candidate, step)
         ]
         return [*chosen, *spares]
 
-    def _can_ask(self, step: StepEntry) -> bool:
+    def _can_call_advisor(self, step: TrackedStep) -> bool:
         return (
-            not step.is_asking
+            not step.has_call_in_flight
             and step.job.queue.advice is not None
-            and len(self.asks) < self._asks_max
+            and len(self.permit_requests) < self._max_calls
         )
 
-    def _ask(self, step: StepEntry, slots: list[Slot]) -> None:
-        if not slots or not self._can_ask(step):
+    def _add_permit_request(self, step: TrackedStep, candidates: list[Candidate]) -> None:
+        if not candidates or not self._can_call_advisor(step):
             return
-        names = dict.fromkeys(slot.worker.worker_id for slot in slots)
-        asked = tuple(names)[:CALL_MAX_WORKERS]
-        cost_ms = _cost_ms(step, len(asked))
-        self.asks.append(
-            PlannedAsk(step.key, asked, step.job.queue.priority, cost_ms)
+        names = dict.fromkeys(candidate.worker.worker_id for candidate in candidates)
+        asked = tuple(names)[:MAX_WORKERS_PER_CALL]
+        expected_call_ms = _expected_call_ms(step, len(asked))
+        self.permit_requests.append(
+            PlannedPermitRequest(step.key, asked, step.job.queue.priority, expected_call_ms)
         )
 
-    def _choose(self, step: StepEntry, slots: list[Slot]) -> list[Slot]:
-        """Return the worker of each task.
+    def _choose(self, step: TrackedStep, candidates: list[Candidate]) -> list[Candidate]:
+        """Reserve capacity and return the worker of each task that fits.
 
-        Workers with a valid ticket, or for which one is asked, come first,
-        so that a gang does not lose its turn to the next call; then the
-        fullest, which leaves room for large tasks on the others.
+        Workers without a failed run of the step come first. Next come
+        workers with a valid ticket, or for which one is being requested, so
+        that a gang does not have to wait for another call. Then those with
+        the least free CPU, which leaves capacity for large tasks on the
+        others. A gang that does not fit as a whole reserves nothing.
         """
-        chosen: list[Slot] = []
-        count = step.waiting
-        cpu_millis = step.charge.cpu_millis
+        chosen: list[Candidate] = []
+        count = step.waiting_count
+        cpu_millis = step.reservation.cpu_millis
         fitting = [
-            slot for slot in slots if slot.free.cpu_millis >= cpu_millis
+            candidate for candidate in candidates if candidate.free.cpu_millis >= cpu_millis
         ]
         fitting.sort(
-            key=lambda slot: (
-                slot.worker.worker_id in step.failed_on,
-                slot.worker.worker_id not in step.asking
-                and not self._has_ticket(step, slot),
-                slot.free.cpu_millis,
+            key=lambda candidate: (
+                candidate.worker.worker_id in step.failed_worker_ids,
+                candidate.worker.worker_id not in step.in_flight_worker_ids
+                and not self._has_ticket(step, candidate),
+                candidate.free.cpu_millis,
             )
         )
-        for slot in fitting:
-            spare = min(count - len(chosen), spare_tasks(slot, step))
-            for _ in range(spare):
-                slot.take(step.charge)
-                chosen.append(slot)
+        for candidate in fitting:
+            task_count = min(count - len(chosen), free_task_count(candidate, step))
+            for _ in range(task_count):
+                candidate.reserve(step.reservation)
+                chosen.append(candidate)
             if len(chosen) == count:
                 break
         if step.spec.is_gang and len(chosen) < count:
-            for slot in chosen:
-                slot.give_back(step.charge)
+            for candidate in chosen:
+                candidate.release(step.reservation)
         return chosen
 
-    def _start(self, step: StepEntry, slots: list[Slot]) -> None:
-        if not slots:
+    def _start(self, step: TrackedStep, candidates: list[Candidate]) -> None:
+        if not candidates:
             return
-        run = max(task.runs for task in step.tasks) + 1
-        for task, slot in zip(step.waiting_tasks(), slots, strict=False):
-            worker_id = slot.worker.worker_id
-            number = run if step.spec.is_gang else task.runs + 1
+        run_number = max(task.runs for task in step.tasks) + 1
+        for task, candidate in zip(step.startable_tasks(), candidates, strict=False):
+            worker_id = candidate.worker.worker_id
+            number = run_number if step.spec.is_gang else task.runs + 1
             ticket = step.tickets_by_worker.get(worker_id, NO_TICKET)[0]
             self.starts.append(
                 PlannedStart(task.key, number, worker_id, ticket)
             )
 
 
-def _enough(step: StepEntry, slots: Iterable[Slot]) -> list[Slot]:
-    """Return workers among which a step will probably find room."""
-    needed = EXPECTED_ROOM * step.waiting / EXPECTED_GOOD_SHARE
-    found: list[Slot] = []
-    room = 0
-    for slot in slots:
-        if len(found) >= CALL_MAX_WORKERS:
+def _enough_candidates(step: TrackedStep, candidates: Iterable[Candidate]) -> list[Candidate]:
+    """Return enough workers for a step to fit on those permitted of them."""
+    needed_count = CAPACITY_MARGIN_RATIO * step.waiting_count / EXPECTED_PERMITTED_SHARE
+    selected: list[Candidate] = []
+    fitting_count = 0
+    for candidate in candidates:
+        if len(selected) >= MAX_WORKERS_PER_CALL:
             break
-        if room >= needed and len(found) >= ASK_MIN_WORKERS:
+        if fitting_count >= needed_count and len(selected) >= MIN_WORKERS_PER_CALL:
             break
-        found.append(slot)
-        room += spare_tasks(slot, step)
-    return found
+        selected.append(candidate)
+        fitting_count += free_task_count(candidate, step)
+    return selected
 
 
-def _emptiest(slot: Slot) -> int:
-    return -slot.free.cpu_millis
+def _most_free_cpu_first(candidate: Candidate) -> int:
+    return -candidate.free.cpu_millis
 
 
-def _tasks_soon(slot: Slot, step: StepEntry) -> int:
-    total = slot.info.capacity.cpu_millis
-    free = slot.free.cpu_millis
-    soon = free + SOON_SHARE * (total - free)
+def _expected_task_count_soon(candidate: Candidate, step: TrackedStep) -> int:
+    total = candidate.info.capacity.cpu_millis
+    free = candidate.free.cpu_millis
+    free_soon = free + SOON_FREED_SHARE * (total - free)
     return max(
-        spare_tasks(slot, step), int(soon // max(1, step.charge.cpu_millis))
+        free_task_count(candidate, step), int(free_soon // max(1, step.reservation.cpu_millis))
     )
 
 
-def _cost_ms(step: StepEntry, workers: int) -> float:
+def _expected_call_ms(step: TrackedStep, workers: int) -> float:
     advice = step.job.queue.advice
     if advice is None:
         return 0.0
     return advice.decision_ms + advice.per_worker_ms * workers
 
 
-def _stop_of(run: RunEntry) -> PlannedStop:
+def _planned_stop(run: TrackedRun) -> PlannedStop:
     outcome = run.task.step.job.outcome
     is_open = outcome is JobOutcome.OPEN
     reason = "superseded" if is_open else f"job-{outcome}"
--- a/src/magnoliapitch/planner/ranking.py
+++ b/src/magnoliapitch/planner/ranking.py
@@ -1,4 +1,4 @@
-"""The order in which ready steps get room."""
+"""Ranking of waiting steps: which step is placed first."""
 
 from __future__ import annotations
 
@@ -7,25 +7,27 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.planner.duration import Durations
-    from magnoliapitch.planner.tracked import JobEntry
-    from magnoliapitch.planner.tracked import StepEntry
+    from magnoliapitch.planner.duration import DurationEstimator
+    from magnoliapitch.planner.tracked import TrackedJob
+    from magnoliapitch.planner.tracked import TrackedStep
 
 
-# A job that completes later than this multiple of its objective is
-# worth nothing to its caller.
-LATE_MULTIPLE = 3.0
-# What is expected of durations changes slowly.
-REFRESH_MS = 1_000
+# A job that completes later than this multiple of its objective is of no
+# value to its caller.
+MAX_USEFUL_COMPLETION_RATIO = 3.0
+# Expected durations change slowly, so ranks need not be computed each round.
+RANK_REFRESH_INTERVAL_MS = 1_000
 
 
 class Rank(NamedTuple):
-    """Lower ranks get room first.
+    """Sort key of a step; the lowest rank is placed first.
 
     :param priority: the queue's priority.
-    :param lateness: 0 while the objective can be kept, 1 while a late
-        completion is of some use, 2 after that.
-    :param latest_start_ms: when the rest of the job must begin.
+    :param lateness: 0 while the job can complete within its objective, 1
+        while a late completion still has some value, 2 after that.
+    :param latest_start_ms: latest start of the step that still meets the
+        objective; once that is missed, the latest start for a completion
+        that still has some value.
     """
 
     priority: int
@@ -33,51 +35,55 @@
     latest_start_ms: float
 
 
-def rank_of(step: StepEntry, durations: Durations, now_ms: int) -> Rank:
-    """Return the rank of a step."""
+def rank_of(step: TrackedStep, duration_estimator: DurationEstimator, now_ms: int) -> Rank:
+    """Return the rank of a step.
+
+    The objective and the latest start are kept on the step and computed
+    again after ``RANK_REFRESH_INTERVAL_MS``.
+    """
     job = step.job
-    if step.latest_ms is None or now_ms >= step.ranked_ms + REFRESH_MS:
-        step.ranked_ms = now_ms
-        step.objective_ms = _objective_ms(job, durations)
-        step.latest_ms = (
-            job.known_ms + step.objective_ms - _rest_ms(step, durations)
+    if step.latest_start_ms is None or now_ms >= step.rank_computed_ms + RANK_REFRESH_INTERVAL_MS:
+        step.rank_computed_ms = now_ms
+        step.objective_ms = _objective_ms(job, duration_estimator)
+        step.latest_start_ms = (
+            job.known_ms + step.objective_ms - _remaining_path_ms(step, duration_estimator)
         )
-    latest_ms, objective_ms = step.latest_ms, step.objective_ms
+    latest_start_ms, objective_ms = step.latest_start_ms, step.objective_ms
     lateness = 0
-    if now_ms > latest_ms:
-        late_ms = latest_ms + (LATE_MULTIPLE - 1) * objective_ms
-        lateness = 1 if now_ms <= late_ms else 2
-        latest_ms = late_ms
-    return Rank(job.queue.priority, lateness, latest_ms)
+    if now_ms > latest_start_ms:
+        latest_useful_start_ms = latest_start_ms + (MAX_USEFUL_COMPLETION_RATIO - 1) * objective_ms
+        lateness = 1 if now_ms <= latest_useful_start_ms else 2
+        latest_start_ms = latest_useful_start_ms
+    return Rank(job.queue.priority, lateness, latest_start_ms)
 
 
-def _objective_ms(job: JobEntry, durations: Durations) -> float:
-    chain_ms = max(
-        (_chain_ms(job, number, durations) for number in _numbers(job)),
+def _objective_ms(job: TrackedJob, duration_estimator: DurationEstimator) -> float:
+    longest_path_ms = max(
+        (_path_ms(job, number, duration_estimator) for number in _step_numbers(job)),
         default=0.0,
     )
-    return job.queue.target_ms + job.queue.stretch * chain_ms
+    return job.queue.target_ms + job.queue.stretch * longest_path_ms
 
 
-def _rest_ms(step: StepEntry, durations: Durations) -> float:
-    """Return the longest chain from a step to the end of its job."""
+def _remaining_path_ms(step: TrackedStep, duration_estimator: DurationEstimator) -> float:
+    """Return the longest path from a step to the end of its job, in ms."""
     job = step.job
-    rest_ms = durations.expected_ms(step)
-    after_ms = [
-        _rest_ms(later, durations)
-        for later in job.steps[step.key.occurrence]
-        if step.key.step in later.spec.depends_on
+    own_ms = duration_estimator.expected_ms(step)
+    dependent_paths_ms = [
+        _remaining_path_ms(dependent, duration_estimator)
+        for dependent in job.steps[step.key.occurrence]
+        if step.key.step in dependent.spec.depends_on
     ]
-    return rest_ms + max(after_ms, default=0.0)
+    return own_ms + max(dependent_paths_ms, default=0.0)
 
 
-def _chain_ms(job: JobEntry, number: int, durations: Durations) -> float:
+def _path_ms(job: TrackedJob, number: int, duration_estimator: DurationEstimator) -> float:
     step = job.steps[0][number]
-    before_ms = [
-        _chain_ms(job, earlier, durations) for earlier in step.spec.depends_on
+    dependency_paths_ms = [
+        _path_ms(job, dependency, duration_estimator) for dependency in step.spec.depends_on
     ]
-    return durations.expected_ms(step) + max(before_ms, default=0.0)
+    return duration_estimator.expected_ms(step) + max(dependency_paths_ms, default=0.0)
 
 
-def _numbers(job: JobEntry) -> range:
+def _step_numbers(job: TrackedJob) -> range:
     return range(len(job.spec.steps))
--- a/src/magnoliapitch/planner/scheduler_state.py
+++ b/src/magnoliapitch/planner/scheduler_state.py
@@ -1,14 +1,14 @@
-"""The jobs, runs and workers that one instance decides on."""
+"""In-memory state that the leader schedules from."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.planner.tracked import JobEntry
-from magnoliapitch.planner.tracked import RunEntry
-from magnoliapitch.planner.tracked import StepEntry
-from magnoliapitch.planner.tracked import TaskEntry
-from magnoliapitch.planner.tracked import WorkerEntry
+from magnoliapitch.planner.tracked import TrackedJob
+from magnoliapitch.planner.tracked import TrackedRun
+from magnoliapitch.planner.tracked import TrackedStep
+from magnoliapitch.planner.tracked import TrackedTask
+from magnoliapitch.planner.tracked import TrackedWorker
 from magnoliapitch.workload.progress import JobOutcome
 from magnoliapitch.workload.progress import JobProgress
 from magnoliapitch.workload.progress import Placement
@@ -29,22 +29,25 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-class Book:
-    """Truth about tasks, as far as it is known; has no clock of its own.
+class SchedulerState:
+    """Known jobs, runs and workers, updated from reports and decisions.
 
-    :ivar dirty: ids of jobs whose progress is not stored yet.
-    :ivar waiting_steps: steps whose turn has come, with waiting tasks.
-    :ivar timed_steps: steps that only wait for their time.
-    :ivar runs_to_stop: runs that must end, by identity.
+    It reads no clock; every time is passed in by the caller.
+
+    :ivar unsaved_job_ids: ids of jobs whose progress is not stored yet.
+    :ivar waiting_steps: steps that may start now and have startable tasks.
+    :ivar scheduled_steps: steps of a recurring job whose dependencies are
+        done and that wait for the start time of their occurrence.
+    :ivar runs_to_stop: runs that must be stopped, by ``id()`` of the run.
     """
 
     def __init__(self) -> None:
-        self.jobs_by_id: dict[str, JobEntry] = {}
-        self.workers_by_id: dict[str, WorkerEntry] = {}
-        self.dirty: set[str] = set()
-        self.waiting_steps: dict[StepKey, StepEntry] = {}
-        self.timed_steps: dict[StepKey, StepEntry] = {}
-        self.runs_to_stop: dict[int, RunEntry] = {}
+        self.jobs_by_id: dict[str, TrackedJob] = {}
+        self.workers_by_id: dict[str, TrackedWorker] = {}
+        self.unsaved_job_ids: set[str] = set()
+        self.waiting_steps: dict[StepKey, TrackedStep] = {}
+        self.scheduled_steps: dict[StepKey, TrackedStep] = {}
+        self.runs_to_stop: dict[int, TrackedRun] = {}
 
     def add_job(
         self,
@@ -52,80 +55,84 @@
         queue: Queue,
         now_ms: int,
         progress: JobProgress | None = None,
-    ) -> JobEntry:
-        """Add a job with its stored progress."""
-        job = JobEntry(spec, queue, now_ms)
+    ) -> TrackedJob:
+        """Add a job and restore its stored progress, if there is any."""
+        job = TrackedJob(spec, queue, now_ms)
         self.jobs_by_id[spec.job_id] = job
         if progress is not None:
             job.outcome = progress.outcome
             job.has_begun = progress.has_begun
-            for key, state in progress.tasks_by_key.items():
-                self._restore(job, key, state, now_ms)
+            for key, task_progress in progress.tasks_by_key.items():
+                self._restore(job, key, task_progress, now_ms)
         for step in job.all_steps():
-            _count(step)
-        self._settle(job)
+            _initialize_counts(step)
+        self._update_outcome(job)
         if job.outcome is JobOutcome.OPEN:
             self._open_steps(job, now_ms)
         return job
 
-    def release_due(self, now_ms: int, wall_ms: int) -> None:
-        """Let the steps wait for room whose time has come."""
-        for key, step in list(self.timed_steps.items()):
+    def open_due_steps(self, now_ms: int, wall_ms: int) -> None:
+        """Move scheduled steps that are due to the waiting steps.
+
+        :param wall_ms: wall-clock time, ms since 1970.
+        """
+        for key, step in list(self.scheduled_steps.items()):
             if wall_ms >= step.job.spec.due_ms(key.occurrence):
-                del self.timed_steps[key]
+                del self.scheduled_steps[key]
                 self._open_step(step, now_ms)
 
     def cancel_job(self, job_id: str) -> None:
-        """Note that a job is cancelled; its runs are to be stopped."""
+        """Cancel an open job and mark its runs for stopping."""
         job = self.jobs_by_id.get(job_id)
         if job is not None and job.outcome is JobOutcome.OPEN:
-            self._close(job, JobOutcome.CANCELLED)
+            self._close_job(job, JobOutcome.CANCELLED)
 
-    def drop_job(self, job_id: str) -> None:
-        """Forget a job that has ended and has no runs."""
+    def remove_job(self, job_id: str) -> None:
+        """Remove a job that has ended and has no active runs."""
         self.jobs_by_id.pop(job_id, None)
-        self.dirty.discard(job_id)
-
-    def worker(self, worker_id: str) -> WorkerEntry:
-        """Return a worker, new if it was not known."""
-        entry = self.workers_by_id.get(worker_id)
-        if entry is None:
-            entry = self.workers_by_id[worker_id] = WorkerEntry(worker_id)
-        return entry
-
-    def put_worker(self, info: WorkerInfo) -> WorkerEntry:
-        """Take over what the platform lists of a worker."""
-        entry = self.worker(info.worker_id)
-        entry.update(info)
-        return entry
-
-    def drop_worker(self, worker_id: str) -> None:
-        """Forget a worker whose life is surely over; its runs are lost."""
+        self.unsaved_job_ids.discard(job_id)
+
+    def worker(self, worker_id: str) -> TrackedWorker:
+        """Return a worker, adding it if it is not known yet."""
+        worker = self.workers_by_id.get(worker_id)
+        if worker is None:
+            worker = self.workers_by_id[worker_id] = TrackedWorker(worker_id)
+        return worker
+
+    def update_worker(self, info: WorkerInfo) -> TrackedWorker:
+        """Add or update a worker from the platform's list."""
+        worker = self.worker(info.worker_id)
+        worker.update(info)
+        return worker
+
+    def remove_worker(self, worker_id: str) -> None:
+        """Remove a worker that has certainly ended, with its runs."""
         self.lose_runs(worker_id)
         self.workers_by_id.pop(worker_id, None)
 
     def lose_runs(self, worker_id: str) -> int:
-        """Note that nothing runs on a worker; return how much was lost."""
+        """Remove every run of a worker; return the number of runs lost."""
         worker = self.workers_by_id.get(worker_id)
         runs = list(worker.runs) if worker else []
         for run in runs:
             self.lose_run(run)
         return len(runs)
 
-    def lose_run(self, run: RunEntry) -> None:
-        """Note that a run is not going on though no end was listed.
+    def lose_run(self, run: TrackedRun) -> None:
+        """Remove a run that is not active although no end was reported.
 
-        The other members of its gang would wait for it in vain.
+        The other members of its gang are marked for stopping, since they
+        would wait for this one forever.
         """
-        if run not in run.task.live:
+        if run not in run.task.active_runs:
             return
         self.remove_run(run)
         step = run.task.step
         if step.spec.is_gang and not step.is_done:
-            for member in step.live_runs():
-                self.stop_later(member)
+            for member in step.all_active_runs():
+                self.mark_for_stop(member)
 
-    def task(self, key: TaskKey) -> TaskEntry | None:
+    def task(self, key: TaskKey) -> TrackedTask | None:
         """Return a task, or None if its job is not known."""
         job = self.jobs_by_id.get(key.job_id)
         try:
@@ -135,53 +142,56 @@
         except IndexError:
             return None
 
-    def step(self, key: StepKey) -> StepEntry | None:
+    def step(self, key: StepKey) -> TrackedStep | None:
         """Return a step, or None if its job is not known."""
         job = self.jobs_by_id.get(key.job_id)
         return None if job is None else job.steps[key.occurrence][key.step]
 
     def run(
         self, key: TaskKey, number: int, worker_id: str
-    ) -> RunEntry | None:
-        """Return a run that may be going on."""
+    ) -> TrackedRun | None:
+        """Return a run that may be active, or None."""
         task = self.task(key)
-        for run in task.live if task else ():
+        for run in task.active_runs if task else ():
             if run.run == number and run.worker_id == worker_id:
                 return run
         return None
 
-    def order_run(
+    def add_ordered_run(
         self, key: TaskKey, number: int, worker_id: str, now_ms: int
-    ) -> RunEntry:
-        """Note a run that is going to be ordered."""
+    ) -> TrackedRun:
+        """Add a run that the worker will be ordered to start.
+
+        :raises KeyError: if the task is not known.
+        """
         task = self.task(key)
         if task is None:
             raise KeyError(key)
         task.runs = max(task.runs, number)
-        self.dirty.add(key.job_id)
-        if not task.live and not task.is_done:
-            self._change_waiting(task.step, -1)
+        self.unsaved_job_ids.add(key.job_id)
+        if not task.active_runs and not task.is_done:
+            self._adjust_waiting_count(task.step, -1)
         return self._add_run(task, number, worker_id, now_ms)
 
-    def stop_later(self, run: RunEntry) -> None:
-        """Mark a run that must end."""
+    def mark_for_stop(self, run: TrackedRun) -> None:
+        """Mark a run that must be stopped."""
         run.is_stopping = True
         self.runs_to_stop[id(run)] = run
 
-    def confirm_run(self, run: RunEntry, now_ms: int) -> None:
-        """Note that the worker has surely begun a run."""
+    def confirm_run(self, run: TrackedRun, now_ms: int) -> None:
+        """Record that the worker has certainly begun a run."""
         run.confirmed_ms = now_ms
         if run.started_ms is None:
             run.started_ms = now_ms
         job = run.task.step.job
         if not job.has_begun:
             job.has_begun = True
-            self.dirty.add(job.spec.job_id)
+            self.unsaved_job_ids.add(job.spec.job_id)
 
-    def note_running(
-        self, run: RunEntry, report: RunningTask, now_ms: int
+    def record_running(
+        self, run: TrackedRun, report: RunningTask, now_ms: int
     ) -> None:
-        """Take over what a worker lists of a run."""
+        """Update a run from its worker in a worker's report."""
         if run.started_ms is None:
             run.resumed_percent = report.percent
         self.confirm_run(run, now_ms)
@@ -193,8 +203,8 @@
         if report.checkpoint and report.checkpoint != task.checkpoint:
             self._save_checkpoint(task, report.checkpoint)
 
-    def note_end(self, worker_id: str, end: EndedRun, now_ms: int) -> bool:
-        """Take over the end of a run; return whether it was news."""
+    def record_end(self, worker_id: str, end: EndedRun, now_ms: int) -> bool:
+        """Record the end of a run; return whether it changed anything."""
         task = self.task(end.task)
         if task is None:
             return False
@@ -202,48 +212,52 @@
         if end.checkpoint and not task.is_done:
             self._save_checkpoint(task, end.checkpoint)
         if end.kind is EndKind.DONE:
-            self._note_done(task, run, now_ms)
+            self._record_done(task, run, now_ms)
         elif run is None:
             return False
         elif end.kind is EndKind.FAILED:
-            self._note_failed(task, end.run)
+            self._record_failed(task, end.run)
         if run is not None:
             self.remove_run(run)
-        self._settle(task.step.job)
+        self._update_outcome(task.step.job)
         return True
 
-    def remove_run(self, run: RunEntry) -> None:
-        """Note that a run is surely not going on."""
+    def remove_run(self, run: TrackedRun) -> None:
+        """Remove a run that is certainly not active."""
         task = run.task
-        task.live.remove(run)
+        task.active_runs.remove(run)
         self.worker(run.worker_id).remove(run)
         self.runs_to_stop.pop(id(run), None)
-        self.dirty.add(task.key.job_id)
-        if not task.live and not task.is_done:
-            self._change_waiting(task.step, 1)
+        self.unsaved_job_ids.add(task.key.job_id)
+        if not task.active_runs and not task.is_done:
+            self._adjust_waiting_count(task.step, 1)
 
-    def note_permits(
+    def record_permits(
         self,
         key: StepKey,
-        asked: Iterable[str],
+        asked_worker_ids: Iterable[str],
         permits: Iterable[Permit],
         valid_until_ms: int,
     ) -> None:
-        """Take over an answer of the advisor."""
+        """Record the permits that the advisor gave for a step.
+
+        :param asked_worker_ids: workers that the call asked about.
+        :param valid_until_ms: when the tickets of the permits expire.
+        """
         step = self.step(key)
         if step is None:
             return
-        step.asking = frozenset()
-        step.asked.update(asked)
+        step.in_flight_worker_ids = frozenset()
+        step.asked_worker_ids.update(asked_worker_ids)
         for permit in permits:
-            step.good.add(permit.worker_id)
+            step.permitted_worker_ids.add(permit.worker_id)
             step.tickets_by_worker[permit.worker_id] = (
                 permit.ticket,
                 valid_until_ms,
             )
 
     def progress(self, job_id: str) -> JobProgress:
-        """Return what is to be stored of a job."""
+        """Return the progress of a job in the form that is stored."""
         job = self.jobs_by_id[job_id]
         return JobProgress(
             job_id,
@@ -255,7 +269,7 @@
                     task.is_done,
                     task.checkpoint,
                     tuple(
-                        Placement(run.run, run.worker_id) for run in task.live
+                        Placement(run.run, run.worker_id) for run in task.active_runs
                     ),
                 )
                 for step in job.all_steps()
@@ -266,114 +280,114 @@
         )
 
     def _restore(
-        self, job: JobEntry, key: TaskKey, state: TaskProgress, now_ms: int
+        self, job: TrackedJob, key: TaskKey, task_progress: TaskProgress, now_ms: int
     ) -> None:
         task = job.steps[key.occurrence][key.step].tasks[key.position]
-        task.runs = state.runs
-        task.failures = state.failures
-        task.is_done = state.is_done
-        task.checkpoint = state.checkpoint
-        for placement in state.placements:
+        task.runs = task_progress.runs
+        task.failures = task_progress.failures
+        task.is_done = task_progress.is_done
+        task.checkpoint = task_progress.checkpoint
+        for placement in task_progress.placements:
             run = self._add_run(
                 task, placement.run, placement.worker_id, now_ms
             )
             run.is_restored = True
 
     def _add_run(
-        self, task: TaskEntry, number: int, worker_id: str, now_ms: int
-    ) -> RunEntry:
-        run = RunEntry(task, number, worker_id, now_ms)
-        task.live.append(run)
+        self, task: TrackedTask, number: int, worker_id: str, now_ms: int
+    ) -> TrackedRun:
+        run = TrackedRun(task, number, worker_id, now_ms)
+        task.active_runs.append(run)
         self.worker(worker_id).add(run)
         return run
 
-    def _save_checkpoint(self, task: TaskEntry, checkpoint: str) -> None:
+    def _save_checkpoint(self, task: TrackedTask, checkpoint: str) -> None:
         tasks = task.step.tasks if task.step.spec.is_gang else [task]
         for member in tasks:
             member.checkpoint = checkpoint
-        self.dirty.add(task.key.job_id)
+        self.unsaved_job_ids.add(task.key.job_id)
 
-    def _note_done(
-        self, task: TaskEntry, run: RunEntry | None, now_ms: int
+    def _record_done(
+        self, task: TrackedTask, run: TrackedRun | None, now_ms: int
     ) -> None:
-        # One such end stands for all members of a gang.
+        # A gang ends as a whole, so one done member means all are done.
         is_gang = task.step.spec.is_gang
         for member in task.step.tasks if is_gang else [task]:
             if not member.is_done:
                 member.is_done = True
-                task.step.undone -= 1
-                if not member.live:
-                    self._change_waiting(task.step, -1)
-                self.dirty.add(task.key.job_id)
+                task.step.unfinished_count -= 1
+                if not member.active_runs:
+                    self._adjust_waiting_count(task.step, -1)
+                self.unsaved_job_ids.add(task.key.job_id)
         if not is_gang:
-            for other in task.live:
+            for other in task.active_runs:
                 if other is not run:
-                    self.stop_later(other)
+                    self.mark_for_stop(other)
         if task.step.is_done and task.step.job.outcome is JobOutcome.OPEN:
             self._open_steps(task.step.job, now_ms)
 
-    def _note_failed(self, task: TaskEntry, run: int) -> None:
-        # Members of a gang that fail in the same run are one failure.
+    def _record_failed(self, task: TrackedTask, run: int) -> None:
+        # Failures of several gang members in one run count once.
         if task.step.spec.is_gang and run in task.step.failed_runs:
             return
         task.step.failed_runs.add(run)
         task.failures += 1
-        self.dirty.add(task.key.job_id)
+        self.unsaved_job_ids.add(task.key.job_id)
 
-    def _settle(self, job: JobEntry) -> None:
-        """Derive the job's final state from its tasks."""
+    def _update_outcome(self, job: TrackedJob) -> None:
+        """Close an open job if its steps have all ended or one has failed."""
         if job.outcome is not JobOutcome.OPEN:
             return
         if any(_has_failed(step) for step in job.all_steps()):
-            self._close(job, JobOutcome.FAILED)
+            self._close_job(job, JobOutcome.FAILED)
         elif all(step.is_done for step in job.all_steps()):
-            self._close(job, JobOutcome.COMPLETED)
+            self._close_job(job, JobOutcome.COMPLETED)
 
-    def _close(self, job: JobEntry, outcome: JobOutcome) -> None:
+    def _close_job(self, job: TrackedJob, outcome: JobOutcome) -> None:
         job.outcome = outcome
-        self.dirty.add(job.spec.job_id)
+        self.unsaved_job_ids.add(job.spec.job_id)
         for step in job.all_steps():
             self.waiting_steps.pop(step.key, None)
-            self.timed_steps.pop(step.key, None)
+            self.scheduled_steps.pop(step.key, None)
             if outcome is not JobOutcome.COMPLETED:
-                for run in step.live_runs():
-                    self.stop_later(run)
+                for run in step.all_active_runs():
+                    self.mark_for_stop(run)
 
-    def _open_steps(self, job: JobEntry, now_ms: int) -> None:
-        """Find the steps whose dependencies are done."""
+    def _open_steps(self, job: TrackedJob, now_ms: int) -> None:
+        """Open or schedule the steps whose dependencies are done."""
         for steps in job.steps:
             for step in steps:
                 if step.is_done or step.ready_ms is not None:
                     continue
-                if step.key in self.timed_steps:
+                if step.key in self.scheduled_steps:
                     continue
                 if all(
                     steps[number].is_done for number in step.spec.depends_on
                 ):
                     if job.spec.run_count:
-                        self.timed_steps[step.key] = step
+                        self.scheduled_steps[step.key] = step
                     else:
                         self._open_step(step, now_ms)
 
-    def _open_step(self, step: StepEntry, now_ms: int) -> None:
+    def _open_step(self, step: TrackedStep, now_ms: int) -> None:
         step.ready_ms = now_ms
-        if step.waiting:
+        if step.waiting_count:
             self.waiting_steps[step.key] = step
 
-    def _change_waiting(self, step: StepEntry, change: int) -> None:
-        step.waiting += change
-        if not step.waiting:
+    def _adjust_waiting_count(self, step: TrackedStep, change: int) -> None:
+        step.waiting_count += change
+        if not step.waiting_count:
             self.waiting_steps.pop(step.key, None)
         elif step.ready_ms is not None and step.job.outcome is JobOutcome.OPEN:
             self.waiting_steps[step.key] = step
 
 
-def _count(step: StepEntry) -> None:
-    step.undone = sum(not task.is_done for task in step.tasks)
-    step.waiting = len(step.waiting_tasks())
+def _initialize_counts(step: TrackedStep) -> None:
+    step.unfinished_count = sum(not task.is_done for task in step.tasks)
+    step.waiting_count = len(step.startable_tasks())
 
 
-def _has_failed(step: StepEntry) -> bool:
+def _has_failed(step: TrackedStep) -> bool:
     if step.spec.is_long_running or step.is_done:
         return False
     attempts = step.job.queue.attempts
--- a/src/magnoliapitch/planner/tracked.py
+++ b/src/magnoliapitch/planner/tracked.py
@@ -1,4 +1,4 @@
-"""Entries of the book: jobs, steps, tasks, runs and workers."""
+"""Jobs, steps, tasks, runs and workers as the scheduler tracks them."""
 
 from __future__ import annotations
 
@@ -17,16 +17,22 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-class RunEntry:
+class TrackedRun:
     """A run that was ordered and whose end is not known.
 
-    :ivar resources: what it takes of the worker's capacity.
-    :ivar confirmed_ms: when the worker had accepted or listed it.
-    :ivar is_restored: a former leader stored it and may have ordered it.
-    :ivar is_stopping: it is to be stopped.
-    :ivar stop_sent_ms: when the newest order to stop it was sent.
-    :ivar stopped_ms: when the worker had accepted an order to stop it.
-    :ivar percent: newest progress that the worker has listed.
+    :ivar run: number of the run among the runs of its task.
+    :ivar resources: capacity that the run reserves on its worker.
+    :ivar confirmed_ms: when the worker accepted or reported the run; None
+        before.
+    :ivar is_restored: whether the run was read from the progress that a
+        former leader stored; that leader may have ordered it or not.
+    :ivar is_stopping: whether the run is marked for stopping.
+    :ivar stop_sent_ms: when the newest stop order was sent; None before.
+    :ivar stopped_ms: when the worker accepted a stop order; None before.
+    :ivar percent: newest progress that the worker reported, 0 to 100.
+    :ivar percent_ms: when the progress last changed.
+    :ivar resumed_percent: progress in the first report; above 0 if the run
+        resumed from a checkpoint.
     """
 
     __slots__ = (
@@ -48,12 +54,12 @@
     )
 
     def __init__(
-        self, task: TaskEntry, run: int, worker_id: str, now_ms: int
+        self, task: TrackedTask, run: int, worker_id: str, now_ms: int
     ) -> None:
         self.task = task
         self.run = run
         self.worker_id = worker_id
-        self.resources = task.step.charge
+        self.resources = task.step.reservation
         self.ordered_ms = now_ms
         self.started_ms: int | None = None
         self.confirmed_ms: int | None = None
@@ -67,11 +73,13 @@
         self.load = 0.0
 
 
-class TaskEntry:
+class TrackedTask:
     """A task and its runs.
 
-    :ivar runs: highest run number ordered so far.
-    :ivar live: runs that may be going on.
+    :ivar runs: highest run number ordered so far; 0 before the first.
+    :ivar failures: number of failed runs; a failed run of a gang counts for
+        only one of its tasks.
+    :ivar active_runs: runs that were ordered and may still be active.
     """
 
     __slots__ = (
@@ -79,109 +87,119 @@
         "failures",
         "is_done",
         "key",
-        "live",
+        "active_runs",
         "runs",
         "step",
     )
 
-    def __init__(self, step: StepEntry, position: int) -> None:
+    def __init__(self, step: TrackedStep, position: int) -> None:
         self.step = step
         self.key = step.key.task(position)
         self.runs = 0
         self.failures = 0
         self.is_done = False
         self.checkpoint = ""
-        self.live: list[RunEntry] = []
+        self.active_runs: list[TrackedRun] = []
 
 
-class StepEntry:
-    """A step of one occurrence.
+class TrackedStep:
+    """A step of one occurrence of a job.
 
-    :ivar charge: what one task takes of a worker's capacity.
-    :ivar latest_ms: when the rest of the job must begin at the latest.
+    :ivar reservation: capacity that one task reserves on a worker.
+    :ivar latest_start_ms: latest start with which the job can still
+        complete within its objective; None before it is computed.
     :ivar objective_ms: time within which the job should complete.
-    :ivar ranked_ms: when both were computed.
-    :ivar ready_ms: when all that it depends on was done; None before.
-    :ivar good: workers that the advisor has permitted.
-    :ivar asked: workers that the advisor was asked about.
-    :ivar failed_on: workers on which a run of it has failed.
-    :ivar undone: number of tasks that are not done.
-    :ivar waiting: number of tasks that are neither done nor may be running.
-    :ivar tickets_by_worker: ticket and end of its validity.
-    :ivar asking: workers in a call to the advisor that is under way.
+    :ivar rank_computed_ms: when ``latest_start_ms`` and ``objective_ms``
+        were computed.
+    :ivar ready_ms: when the step became ready to start, its dependencies
+        done and its occurrence due; None before.
+    :ivar permitted_worker_ids: workers that the advisor has permitted.
+    :ivar asked_worker_ids: workers that the advisor has answered about.
+    :ivar failed_worker_ids: workers on which a run failed since the last
+        run that was done.
+    :ivar failed_runs: numbers of the runs that have failed; the members of
+        a gang share a number.
+    :ivar unfinished_count: number of tasks that are not done.
+    :ivar waiting_count: number of tasks that are not done and have no
+        active run.
+    :ivar tickets_by_worker: ticket and end of its validity in ms, by
+        worker id.
+    :ivar in_flight_worker_ids: workers in the advisor call that is under
+        way; empty if there is none.
     """
 
     __slots__ = (
-        "asked",
-        "asking",
-        "charge",
-        "failed_on",
+        "asked_worker_ids",
+        "in_flight_worker_ids",
+        "reservation",
+        "failed_worker_ids",
         "failed_runs",
-        "good",
+        "permitted_worker_ids",
         "job",
         "key",
-        "latest_ms",
+        "latest_start_ms",
         "objective_ms",
-        "ranked_ms",
+        "rank_computed_ms",
         "ready_ms",
         "retry_ms",
         "spec",
         "tasks",
         "tickets_by_worker",
-        "undone",
-        "waiting",
+        "unfinished_count",
+        "waiting_count",
     )
 
-    def __init__(self, job: JobEntry, occurrence: int, number: int) -> None:
+    def __init__(self, job: TrackedJob, occurrence: int, number: int) -> None:
         self.job = job
         self.key = StepKey(job.spec.job_id, occurrence, number)
         self.spec: StepSpec = job.spec.steps[number]
-        self.charge = _charge(self.spec)
+        self.reservation = _reservation(self.spec)
         self.tasks = [
-            TaskEntry(self, position)
+            TrackedTask(self, position)
             for position in range(self.spec.task_count)
         ]
-        self.undone = self.spec.task_count
-        self.waiting = self.spec.task_count
+        self.unfinished_count = self.spec.task_count
+        self.waiting_count = self.spec.task_count
         self.ready_ms: int | None = None
         self.retry_ms = 0
-        self.good: set[str] = set()
-        self.asked: set[str] = set()
+        self.permitted_worker_ids: set[str] = set()
+        self.asked_worker_ids: set[str] = set()
         self.tickets_by_worker: dict[str, tuple[str, int]] = {}
-        self.asking: frozenset[str] = frozenset()
-        self.failed_on: set[str] = set()
+        self.in_flight_worker_ids: frozenset[str] = frozenset()
+        self.failed_worker_ids: set[str] = set()
         self.failed_runs: set[int] = set()
-        self.latest_ms: float | None = None
+        self.latest_start_ms: float | None = None
         self.objective_ms = 0.0
-        self.ranked_ms = 0
+        self.rank_computed_ms = 0
 
     @property
-    def is_asking(self) -> bool:
-        """Return whether a call to the advisor is under way."""
-        return bool(self.asking)
+    def has_call_in_flight(self) -> bool:
+        """Return whether an advisor call for the step is under way."""
+        return bool(self.in_flight_worker_ids)
 
     @property
     def is_done(self) -> bool:
         """Return whether every task is done."""
-        return self.undone == 0
+        return self.unfinished_count == 0
 
-    def waiting_tasks(self) -> list[TaskEntry]:
-        """Return the tasks that are neither done nor may be running."""
+    def startable_tasks(self) -> list[TrackedTask]:
+        """Return the tasks that are not done and have no active run."""
         return [
-            task for task in self.tasks if not task.is_done and not task.live
+            task for task in self.tasks if not task.is_done and not task.active_runs
         ]
 
-    def live_runs(self) -> list[RunEntry]:
-        """Return every run that may be going on."""
-        return [run for task in self.tasks for run in task.live]
+    def all_active_runs(self) -> list[TrackedRun]:
+        """Return the active runs of all tasks."""
+        return [run for task in self.tasks for run in task.active_runs]
 
 
-class JobEntry:
-    """An accepted job.
+class TrackedJob:
+    """A submitted job with the steps of all its occurrences.
 
-    :ivar known_ms: when this instance learned of it, by its own clock.
+    :ivar known_ms: when this instance learned of the job, by its own clock.
     :ivar outcome: final state, or ``OPEN``.
-    :ivar has_begun: a worker has surely begun one of its tasks.
+    :ivar has_begun: whether a worker has certainly begun one of its tasks.
+    :ivar steps: the steps of each occurrence.
     """
 
     __slots__ = (
@@ -201,22 +219,24 @@
         self.has_begun = False
         self.steps = [
             [
-                StepEntry(self, occurrence, number)
+                TrackedStep(self, occurrence, number)
                 for number in range(len(spec.steps))
             ]
             for occurrence in range(spec.occurrences)
         ]
 
-    def all_steps(self) -> list[StepEntry]:
+    def all_steps(self) -> list[TrackedStep]:
         """Return the steps of every occurrence."""
         return [step for steps in self.steps for step in steps]
 
 
-class WorkerEntry:
-    """A worker and what it may be running.
+class TrackedWorker:
+    """A worker and the runs that may be active on it.
 
-    :ivar info: None while the platform has not listed it.
-    :ivar is_usable: it answers, its lease is held and it takes work.
+    :ivar info: newest entry in the platform's list; None before the first.
+    :ivar is_usable: whether new runs may be placed on it: it is listed,
+        answered lately and is not avoided after failures.
+    :ivar free: capacity that no run reserves.
     """
 
     __slots__ = ("free", "info", "is_usable", "runs", "worker_id")
@@ -226,28 +246,28 @@
         self.info: WorkerInfo | None = None
         self.is_usable = False
         self.free = NO_RESOURCES
-        self.runs: list[RunEntry] = []
+        self.runs: list[TrackedRun] = []
 
     def update(self, info: WorkerInfo) -> None:
-        """Take over what the platform lists."""
+        """Update the worker from the platform's list."""
         self.info = info
         used = NO_RESOURCES
         for run in self.runs:
             used = used.plus(run.resources)
         self.free = info.capacity.minus(used)
 
-    def add(self, run: RunEntry) -> None:
-        """Reserve room for a run."""
+    def add(self, run: TrackedRun) -> None:
+        """Add a run and reserve its capacity."""
         self.runs.append(run)
         self.free = self.free.minus(run.resources)
 
-    def remove(self, run: RunEntry) -> None:
-        """Free the room of a run."""
+    def remove(self, run: TrackedRun) -> None:
+        """Remove a run and free its capacity."""
         self.runs.remove(run)
         self.free = self.free.plus(run.resources)
 
 
-def _charge(spec: StepSpec) -> Resources:
+def _reservation(spec: StepSpec) -> Resources:
     if spec.uses_leftover:
         return spec.resources._replace(cpu_millis=0)
     return spec.resources
--- a/src/magnoliapitch/planner/worker_backoff.py
+++ b/src/magnoliapitch/planner/worker_backoff.py
@@ -1,49 +1,51 @@
-"""Which workers are avoided because what they start fails."""
+"""Back-off from workers on which runs fail repeatedly."""
 
 from __future__ import annotations
 
 
-# Single failures are the tasks' own; a second one in a row is a pattern.
-SUSPECT_FAILURES = 2
-FIRST_PAUSE_MS = 2_000
-LONGEST_PAUSE_MS = 16_000
+# Consecutive failures before a worker is avoided: a single one is put down
+# to the task, a second one in a row to the worker.
+MIN_FAILURES_COUNT = 2
+FIRST_BACKOFF_MS = 2_000
+MAX_BACKOFF_MS = 16_000
 
 
-class Trust:
-    """Counts failures in a row by worker."""
+class WorkerBackoff:
+    """Avoids a worker after consecutive failures, exponentially longer."""
 
     def __init__(self) -> None:
         self._failures_by_worker: dict[str, int] = {}
         self._avoid_until_by_worker: dict[str, int] = {}
 
-    def note_done(self, worker_id: str) -> None:
-        """Note that a run was done, which clears the worker."""
+    def record_done(self, worker_id: str) -> None:
+        """Reset a worker's failures, since a run on it was done."""
         self._failures_by_worker.pop(worker_id, None)
         self._avoid_until_by_worker.pop(worker_id, None)
 
-    def note_failed(self, worker_id: str, now_ms: int) -> int:
-        """Note that a run failed.
+    def record_failed(self, worker_id: str, now_ms: int) -> int:
+        """Count a failure of a worker.
 
-        :return: how long the worker is avoided, in milliseconds.
+        :return: how long the worker is avoided, in milliseconds; 0 if it is
+            not avoided yet.
         """
         failures = self._failures_by_worker.get(worker_id, 0) + 1
         self._failures_by_worker[worker_id] = failures
-        if failures < SUSPECT_FAILURES:
+        if failures < MIN_FAILURES_COUNT:
             return 0
-        doublings = failures - SUSPECT_FAILURES
-        pause_ms = min(FIRST_PAUSE_MS << min(doublings, 8), LONGEST_PAUSE_MS)
+        doublings = failures - MIN_FAILURES_COUNT
+        pause_ms = min(FIRST_BACKOFF_MS << min(doublings, 8), MAX_BACKOFF_MS)
         self.avoid(worker_id, now_ms + pause_ms)
         return pause_ms
 
     def avoid(self, worker_id: str, until_ms: int) -> None:
-        """Give a worker nothing before a time."""
-        known_ms = self._avoid_until_by_worker.get(worker_id, 0)
-        self._avoid_until_by_worker[worker_id] = max(known_ms, until_ms)
+        """Avoid a worker until a time, or longer if that was set before."""
+        current_ms = self._avoid_until_by_worker.get(worker_id, 0)
+        self._avoid_until_by_worker[worker_id] = max(current_ms, until_ms)
 
     def is_avoided(self, worker_id: str, now_ms: int) -> bool:
-        """Return whether a worker gets nothing for now."""
+        """Return whether a worker is to get no new runs for now."""
         return now_ms < self._avoid_until_by_worker.get(worker_id, 0)
 
     def forget(self, worker_id: str) -> None:
-        """Forget a worker that is gone."""
-        self.note_done(worker_id)
+        """Drop the data of a worker that is gone."""
+        self.record_done(worker_id)
--- a/src/magnoliapitch/platform/workers.py
+++ b/src/magnoliapitch/platform/workers.py
@@ -89,14 +89,14 @@
         worker: WorkerInfo,
         token: int,
         deadline_ms: int | None,
-        acknowledged: int,
+        acknowledged_sequence: int,
         wait_ms: int,
         timeout_ms: int,
     ) -> Result[WorkerReport, Failure]:
         """Extend the worker's lease and see what runs and has ended."""
         body: dict[str, Any] = {
             "fencing-token": token,
-            "ack-seq": acknowledged,
+            "ack-seq": acknowledged_sequence,
         }
         if deadline_ms is not None:
             body["deadline-ms"] = deadline_ms
@@ -106,7 +106,7 @@
             worker, "/hold", body, timeout_ms + wait_ms
         ).and_then(_report_from)
 
-    def pace(
+    def throttle(
         self,
         worker: WorkerInfo,
         order: StopOrder,
--- a/src/magnoliapitch/workload/client.py
+++ b/src/magnoliapitch/workload/client.py
@@ -51,7 +51,7 @@
         worker: WorkerInfo,
         token: int,
         deadline_ms: int | None,
-        acknowledged: int,
+        acknowledged_sequence: int,
         wait_ms: int,
         timeout_ms: int,
     ) -> Result[WorkerReport, Failure]:
@@ -59,11 +59,11 @@
 
         :param deadline_ms: new end on the worker's clock; None to look
             only.
-        :param acknowledged: highest end that the worker may forget.
+        :param acknowledged_sequence: highest end that the worker may forget.
         :param wait_ms: how long the answer may wait for a new end.
         """
 
-    def pace(
+    def throttle(
         self,
         worker: WorkerInfo,
         order: StopOrder,
--- a/src/magnoliapitch/workload/run.py
+++ b/src/magnoliapitch/workload/run.py
@@ -40,11 +40,11 @@
 class EndedRun(NamedTuple):
     """A run that has ended and whose end is not acknowledged yet.
 
-    :param number: position in the worker's list of ends, from 1.
+    :param sequence: position in the worker's list of ends, from 1.
     :param checkpoint: newest saved progress, or empty.
     """
 
-    number: int
+    sequence: int
     task: TaskKey
     run: int
     kind: EndKind
--- a/tests/control/load.py
+++ b/tests/control/load.py
@@ -12,7 +12,7 @@
 from magnoliapitch.workload.job import JobSpec
 from magnoliapitch.workload.job import StepSpec
 from magnoliapitch.workload.job import TaskKey
-from tests.control.simulation import Scene
+from tests.control.simulation import Simulation
 from tests.control.simulation import queue
 from tests.control.simulation import workers
 
@@ -149,7 +149,7 @@
         self._number = 0
         self._scale = scale
         self.factor_by_kind: dict[str, float] = {}
-        self.scene = Scene(
+        self.scene = Simulation(
             [
                 queue(kind.name, kind.priority, kind.advice)._replace(
                     stretch=kind.stretch, target_ms=kind.target_ms
--- a/tests/control/simulated_effects.py
+++ b/tests/control/simulated_effects.py
@@ -9,7 +9,7 @@
 from result import Err
 from result import Ok
 
-from magnoliapitch.control.events import Advised
+from magnoliapitch.control.events import PermitsAnswered
 from magnoliapitch.control.events import Committed
 from magnoliapitch.control.events import StartAnswered
 from magnoliapitch.control.events import StopAnswered
@@ -28,12 +28,12 @@
     from collections.abc import Sequence
 
     from magnoliapitch.ledger.leadership import Batch
-    from magnoliapitch.planner.plan import PlannedAsk
+    from magnoliapitch.planner.plan import PlannedPermitRequest
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.workload.worker import WorkerInfo
 
 if TYPE_CHECKING:
-    from tests.control.simulation import Scene
+    from tests.control.simulation import Simulation
 
 
 LINK_MS = 2
@@ -43,19 +43,19 @@
 
 
 class SimulatedEffects:
-    """Carries out what a controller asks of workers, store and advisor."""
+    """Carries out what a controller permit_requests of workers, store and advisor."""
 
-    def __init__(self, scene: Scene, epoch: int) -> None:
+    def __init__(self, scene: Simulation, epoch: int) -> None:
         self._scene = scene
         self._epoch = epoch
         self._open: set[str] = set()
         self._acknowledged: dict[str, int] = {}
 
-    def open_link(self, worker: WorkerInfo) -> None:
+    def start_lease_renewal(self, worker: WorkerInfo) -> None:
         self._open.add(worker.worker_id)
         self._look(worker.worker_id)
 
-    def close_link(self, worker_id: str) -> None:
+    def stop_lease_renewal(self, worker_id: str) -> None:
         self._open.discard(worker_id)
 
     def acknowledge(self, worker_id: str, number: int) -> None:
@@ -68,7 +68,7 @@
 
         def answer(outcome: object) -> None:
             if self._is_current():
-                scene.controller.note_start(
+                scene.controller.handle_start_answer(
                     StartAnswered(planned, outcome, sent_ms, scene.now_ms)  # type: ignore[arg-type]
                 )
 
@@ -87,14 +87,14 @@
 
         scene.at(LINK_MS, arrive)
 
-    def stop_run(self, worker: WorkerInfo, order: StopOrder) -> None:
+    def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         scene = self._scene
 
         def arrive() -> None:
             if worker.worker_id in scene.cut or not self._is_current():
                 return
             outcome = scene.workers[worker.worker_id].stop(order)
-            scene.controller.note_stop(
+            scene.controller.handle_stop_answer(
                 StopAnswered(
                     order.task,
                     order.run,
@@ -119,14 +119,14 @@
                 record.key: record.value or None for record in batch.progress
             }
             scene.replica.apply(values, list(values))  # type: ignore[arg-type]
-            scene.controller.note_commit(
+            scene.controller.handle_commit(
                 Committed(Ok(0), sent_ms), scene.now_ms
             )
-            scene.note_stored()
+            scene.record_stored()
 
         scene.at(COMMIT_MS, done)
 
-    def forget(self, job_ids: Sequence[str]) -> None:
+    def delete_jobs(self, job_ids: Sequence[str]) -> None:
         keys = [
             prefix + job_id
             for job_id in job_ids
@@ -134,7 +134,7 @@
         ]
         self._scene.replica.apply({}, keys)
 
-    def ask(self, ask: PlannedAsk, timeout_ms: int) -> bool:
+    def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
         del timeout_ms
         scene, sent_ms = self._scene, self._scene.now_ms
         if not scene.reserve_lane():
@@ -143,28 +143,28 @@
 
         def done() -> None:
             scene.free_lane()
-            chooser = random.Random(f"{ask.step}")
+            chooser = random.Random(f"{request.step}")
             good = {
                 worker_id
                 for worker_id in sorted(scene.workers)
-                if chooser.random() < scene.good_share_of(ask.step)
+                if chooser.random() < scene.good_share_of(request.step)
             }
-            ticket = f"until {sent_ms + scene.valid_ms(ask.step)}"
+            ticket = f"until {sent_ms + scene.valid_ms(request.step)}"
             permits = tuple(
                 Permit(worker_id, ticket)
-                for worker_id in ask.worker_ids
+                for worker_id in request.worker_ids
                 if worker_id in good
             )
             if self._is_current():
-                scene.controller.note_advice(
-                    Advised(ask, Ok(permits), sent_ms)
+                scene.controller.handle_permits(
+                    PermitsAnswered(request, Ok(permits), sent_ms)
                 )
 
-        scene.at(ask.cost_ms + LINK_MS, done)
+        scene.at(request.expected_call_ms + LINK_MS, done)
         return True
 
-    def idle_lanes(self) -> int:
-        return self._scene.idle_lanes()
+    def available_advisor_calls(self) -> int:
+        return self._scene.available_advisor_calls()
 
     def _is_current(self) -> bool:
         return self._scene.is_current(self._epoch)
@@ -208,6 +208,6 @@
     def _report(self, worker_id: str, outcome: object, sent_ms: int) -> None:
         scene = self._scene
         if self._is_current():
-            scene.controller.note_report(
+            scene.controller.handle_report(
                 WorkerReported(worker_id, outcome, sent_ms, scene.now_ms)  # type: ignore[arg-type]
             )
--- a/tests/control/simulated_worker.py
+++ b/tests/control/simulated_worker.py
@@ -27,7 +27,7 @@
     from magnoliapitch.workload.job import StepSpec
     from magnoliapitch.workload.job import TaskKey
     from magnoliapitch.workload.worker import WorkerInfo
-    from tests.control.simulation import Scene
+    from tests.control.simulation import Simulation
 
 
 class _Run:
@@ -42,7 +42,7 @@
 class SimulatedWorker:
     """Runs tasks under a lease; its clock is the scene's."""
 
-    def __init__(self, info: WorkerInfo, scene: Scene) -> None:
+    def __init__(self, info: WorkerInfo, scene: Simulation) -> None:
         self.info = info
         self.is_gone = False
         self.running: dict[TaskKey, _Run] = {}
@@ -61,7 +61,7 @@
         self._token = max(self._token, token)
         if deadline_ms is not None and token >= self._token:
             self._extend(deadline_ms)
-        self.ended = [end for end in self.ended if end.number > acknowledged]
+        self.ended = [end for end in self.ended if end.sequence > acknowledged]
 
     def report(self) -> WorkerReport:
         """Return what runs and has ended."""
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -60,11 +60,11 @@
     after_ms: int
 
 
-class Scene:
+class Simulation:
     """Runs a controller in virtual time.
 
     :ivar violations: what must never happen and did.
-    :ivar durations: true duration of each task; by default 1 s.
+    :ivar duration_estimator: true duration of each task; by default 1 s.
     """
 
     def __init__(
@@ -164,8 +164,8 @@
         """Return whether a controller of an epoch may still store."""
         return epoch == self._epoch
 
-    def note_stored(self) -> None:
-        """Look which jobs have ended since the last commit."""
+    def record_stored(self) -> None:
+        """RenewalTiming which jobs have ended since the last commit."""
         self.commits += 1
         for job_id, submitted_ms in self._submitted_ms.items():
             shown = self.states.get(job_id)
@@ -177,12 +177,12 @@
 
     def reserve_lane(self) -> bool:
         """Take a way to the advisor, if one is free."""
-        if not self.idle_lanes():
+        if not self.available_advisor_calls():
             return False
         self._busy_lanes += 1
         return True
 
-    def idle_lanes(self) -> int:
+    def available_advisor_calls(self) -> int:
         """Return how many ways to the advisor are free."""
         return self.lanes - self._busy_lanes
 
@@ -207,7 +207,7 @@
         ids = frozenset(changed)
         self.at(
             COMMIT_MS,
-            lambda: self.controller.note_jobs(ids, self.now_ms),
+            lambda: self.controller.handle_jobs_changed(ids, self.now_ms),
         )
 
     def _list_workers(self) -> None:
@@ -216,7 +216,7 @@
             for worker_id, worker in self.workers.items()
             if worker_id not in self.cut and not worker.is_gone
         }
-        self.controller.note_workers(WorkersListed(info_by_id))
+        self.controller.handle_worker_list(WorkersListed(info_by_id))
         self.at(500, self._list_workers)
 
     def _next_round(self) -> None:
@@ -260,4 +260,4 @@
     )
 
 
-__all__ = ["EndKind", "Finished", "Scene", "queue", "workers"]
+__all__ = ["EndKind", "Finished", "Simulation", "queue", "workers"]
--- a/tests/control/test_controller.py
+++ b/tests/control/test_controller.py
@@ -17,7 +17,7 @@
 from magnoliapitch.workload.job import StepSpec
 from magnoliapitch.workload.job import TaskKey
 from tests.control.simulation import TIMING
-from tests.control.simulation import Scene
+from tests.control.simulation import Simulation
 from tests.control.simulation import queue
 from tests.control.simulation import workers
 
@@ -29,8 +29,8 @@
     return JobSpec(name, "q", "text", steps)
 
 
-def scene(count: int = 3) -> Scene:
-    return Scene([queue("q")], workers(count))
+def scene(count: int = 3) -> Simulation:
+    return Simulation([queue("q")], workers(count))
 
 
 def test_steps_run_in_the_order_of_their_dependencies() -> None:
@@ -144,7 +144,7 @@
 
 def test_permits_that_expired_in_an_outage_are_not_used() -> None:
     advice = AdvicePolicy(20, 1, valid_ms=1_000)
-    world = Scene([queue("q", advice=advice)], workers(6))
+    world = Simulation([queue("q", advice=advice)], workers(6))
     world.run(500)
     world.submit(job("a", StepSpec(4, SIZE)))
     world.at(40, partial(setattr, world, "store_is_away", True))
@@ -226,7 +226,7 @@
     old = world.controller
     start = PlannedStart(TaskKey("a", 0, 0, 0), 1, "w000")
     fenced = Err(not_run(FailureCode.FENCED, "token"))
-    old.note_start(StartAnswered(start, fenced, 0, 0))
+    old.handle_start_answer(StartAnswered(start, fenced, 0, 0))
     assert old.is_over
 
 
@@ -241,6 +241,6 @@
     assert held
     start = PlannedStart(held[0], 1, "w000")
     replaced = Err(not_run(FailureCode.REPLACED, "another life"))
-    world.controller.note_start(StartAnswered(start, replaced, 0, 0))
-    assert "w000" not in world.controller.book.workers_by_id
+    world.controller.handle_start_answer(StartAnswered(start, replaced, 0, 0))
+    assert "w000" not in world.controller.state.workers_by_id
     assert not world.controller.is_over
--- a/tests/control/test_order_sender.py
+++ b/tests/control/test_order_sender.py
@@ -14,7 +14,7 @@
 from magnoliapitch.control.events import StartAnswered
 from magnoliapitch.control.order_sender import ATTEMPT_TIMEOUTS_MS
 from magnoliapitch.control.order_sender import OrderSender
-from magnoliapitch.control.order_sender import repeat_unanswered
+from magnoliapitch.control.order_sender import retry_unanswered
 from magnoliapitch.metric import Metrics
 from magnoliapitch.planner.plan import PlannedStart
 from magnoliapitch.resource import Resources
@@ -42,7 +42,7 @@
 
 
 def test_an_unanswered_order_is_repeated() -> None:
-    assert repeat_unanswered(answers(LOST, Ok(7))) == Ok(7)
+    assert retry_unanswered(answers(LOST, Ok(7))) == Ok(7)
 
 
 def test_a_call_that_is_never_answered_ends_in_time() -> None:
@@ -52,7 +52,7 @@
         waited.append(timeout_ms)
         return LOST
 
-    assert repeat_unanswered(call) == LOST
+    assert retry_unanswered(call) == LOST
     assert sum(waited) <= 700
 
 
@@ -62,7 +62,7 @@
 def test_a_refused_repeat_does_not_excuse_the_first_attempt(
     code: FailureCode,
 ) -> None:
-    outcome = repeat_unanswered(answers(LOST, Err(not_run(code, "409"))))
+    outcome = retry_unanswered(answers(LOST, Err(not_run(code, "409"))))
     assert isinstance(outcome, Err)
     assert outcome.err_value.verdict is Verdict.MAY_HAVE_RUN
     assert outcome.err_value.code is code
@@ -70,7 +70,7 @@
 
 def test_a_refused_first_attempt_is_final() -> None:
     refused = Err(not_run(FailureCode.STALE, "old"))
-    assert repeat_unanswered(answers(refused)) == refused
+    assert retry_unanswered(answers(refused)) == refused
 
 
 class HangingWorkers:
--- a/tests/planner/test_load_patterns.py
+++ b/tests/planner/test_load_patterns.py
@@ -17,7 +17,7 @@
 from magnoliapitch.workload.job import TaskKey
 from tests.control.load import GROWN_KINDS
 from tests.control.load import Load
-from tests.control.simulation import Scene
+from tests.control.simulation import Simulation
 from tests.control.simulation import queue
 from tests.control.simulation import workers
 
@@ -66,7 +66,7 @@
 
 
 def test_a_wide_gang_starts_though_permits_are_slow_and_short_lived() -> None:
-    scene = Scene([queue("q", advice=SLOW_ADVICE)], workers(176))
+    scene = Simulation([queue("q", advice=SLOW_ADVICE)], workers(176))
     scene.good_share = 0.35
     gang = StepSpec(30, Resources(9_000, 26_000), is_gang=True)
     for number in range(4):
@@ -80,7 +80,7 @@
     """Small tasks wait for every bit of room; a gang needs 144 cores."""
     batches = queue("batches", 2, AdvicePolicy(20, 0.3, 2_500))
     plans = queue("plans", 1, AdvicePolicy(560, 8, 2_500))
-    scene = Scene([batches, plans], workers(48), lanes=12)
+    scene = Simulation([batches, plans], workers(48), lanes=12)
     scene.good_share_by_queue = {"batches": 0.45, "plans": 0.35}
     lengths = random.Random(1)
     true_ms_by_task: defaultdict[TaskKey, float] = defaultdict(
@@ -100,7 +100,7 @@
 
 def test_a_gang_that_waits_behind_services_starves_nobody() -> None:
     """Services never end, so that the gang's room never comes."""
-    scene = Scene([queue("q"), queue("batches", 2)], workers(2))
+    scene = Simulation([queue("q"), queue("batches", 2)], workers(2))
     scene.true_ms = lambda key: (
         3_600_000.0 if key.job_id == "service" else 500.0
     )
@@ -118,7 +118,7 @@
 
 
 def test_jobs_that_fail_everywhere_do_not_hold_up_the_others() -> None:
-    scene = Scene([queue("q")], workers(6))
+    scene = Simulation([queue("q")], workers(6))
     scene.fails = lambda key, _: key.job_id.startswith("bad")
     size = Resources(4_000, 8_000)
     for number in range(20):
@@ -135,7 +135,7 @@
 
 
 def test_a_wave_of_cancellations_frees_the_room_at_once() -> None:
-    scene = Scene([queue("q")], workers(6))
+    scene = Simulation([queue("q")], workers(6))
     scene.true_ms = lambda _: 30_000.0
     size = Resources(16_000, 8_000)
     for number in range(10):
@@ -158,7 +158,7 @@
 
 
 def test_a_worker_that_fails_everything_costs_no_job() -> None:
-    scene = Scene([queue("q")], workers(6))
+    scene = Simulation([queue("q")], workers(6))
     scene.fails = lambda _, worker_id: worker_id == "w000"
     size = Resources(8_000, 8_000)
     for number in range(40):
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from magnoliapitch.planner import Book
+from magnoliapitch.planner import SchedulerState
 from magnoliapitch.planner import Planner
 from magnoliapitch.resource import Resources
 from magnoliapitch.workload.configuration import AdvicePolicy
@@ -17,155 +17,155 @@
 STEP = StepKey("a", 0, 0)
 
 
-def make_book(count: int = 4, **fields: object) -> Book:
-    book = Book()
+def make_state(count: int = 4, **fields: object) -> SchedulerState:
+    state = SchedulerState()
     for number in range(count):
         info = WorkerInfo(
             f"w{number}", "app", f"10.0.0.{number}:1", "z", f"r{number % 2}"
         )._replace(capacity=Resources(8_000, 16_000), **fields)  # type: ignore[arg-type]
-        book.put_worker(info).is_usable = True
-    return book
+        state.update_worker(info).is_usable = True
+    return state
 
 
 def add(
-    book: Book,
+    state: SchedulerState,
     *steps: StepSpec,
     name: str = "a",
     advice: AdvicePolicy | None = None,
     priority: int = 0,
 ) -> None:
     queue = Queue("q", "h", "/", "app", priority, 3, 2.0, 500, 3_000, advice)
-    book.add_job(JobSpec(name, "q", "", steps), queue, 0)
+    state.add_job(JobSpec(name, "q", "", steps), queue, 0)
 
 
 def test_a_ticket_that_was_refused_is_asked_for_again() -> None:
-    book = make_book()
-    add(book, StepSpec(1, SIZE), advice=ADVICE)
+    state = make_state()
+    add(state, StepSpec(1, SIZE), advice=ADVICE)
     planner = Planner()
-    asked = planner.plan(book, 0, 0).asks[0]
-    book.note_permits(STEP, asked.worker_ids, [Permit("w1", "t")], 2_500)
-    start = planner.plan(book, 10, 10).starts[0]
+    asked = planner.plan(state, 0, 0).permit_requests[0]
+    state.record_permits(STEP, asked.worker_ids, [Permit("w1", "t")], 2_500)
+    start = planner.plan(state, 10, 10).starts[0]
     assert (start.worker_id, start.ticket) == ("w1", "t")
-    step = book.step(STEP)
+    step = state.step(STEP)
     assert step is not None
     del step.tickets_by_worker["w1"]
-    plan = planner.plan(book, 20, 20)
-    assert plan.asks[0].worker_ids == ("w1",)
+    plan = planner.plan(state, 20, 20)
+    assert plan.permit_requests[0].worker_ids == ("w1",)
     assert not plan.starts
 
 
 def test_a_valid_ticket_elsewhere_saves_a_call() -> None:
-    book = make_book()
-    add(book, StepSpec(1, SIZE), advice=ADVICE)
-    names = list(book.workers_by_id)
+    state = make_state()
+    add(state, StepSpec(1, SIZE), advice=ADVICE)
+    names = list(state.workers_by_id)
     permits = [Permit(name, "t") for name in names]
-    book.note_permits(STEP, names, permits, 2_500)
-    step = book.step(STEP)
+    state.record_permits(STEP, names, permits, 2_500)
+    step = state.step(STEP)
     assert step is not None
     del step.tickets_by_worker[names[0]]
-    plan = Planner().plan(book, 20, 20)
+    plan = Planner().plan(state, 20, 20)
     assert len(plan.starts) == 1
-    assert not plan.asks
+    assert not plan.permit_requests
 
 
 def test_an_old_ticket_is_not_used() -> None:
-    book = make_book()
-    add(book, StepSpec(2, SIZE), advice=ADVICE)
-    permits = [Permit(name, "t") for name in book.workers_by_id]
-    book.note_permits(STEP, book.workers_by_id, permits, 2_500)
-    plan = Planner().plan(book, 2_400, 2_400)
+    state = make_state()
+    add(state, StepSpec(2, SIZE), advice=ADVICE)
+    permits = [Permit(name, "t") for name in state.workers_by_id]
+    state.record_permits(STEP, state.workers_by_id, permits, 2_500)
+    plan = Planner().plan(state, 2_400, 2_400)
     assert not plan.starts
-    assert len(plan.asks) == 1
+    assert len(plan.permit_requests) == 1
 
 
 def test_only_permitted_workers_run_a_step() -> None:
-    book = make_book()
-    add(book, StepSpec(3, SIZE), advice=ADVICE)
-    names = list(book.workers_by_id)
-    book.note_permits(STEP, names, [Permit("w2", "t")], 2_500)
-    plan = Planner().plan(book, 0, 0)
+    state = make_state()
+    add(state, StepSpec(3, SIZE), advice=ADVICE)
+    names = list(state.workers_by_id)
+    state.record_permits(STEP, names, [Permit("w2", "t")], 2_500)
+    plan = Planner().plan(state, 0, 0)
     assert {start.worker_id for start in plan.starts} == {"w2"}
 
 
 def test_no_worker_gets_more_than_it_holds() -> None:
-    book = make_book(2)
-    add(book, StepSpec(20, SIZE))
-    starts = Planner().plan(book, 0, 0).starts
+    state = make_state(2)
+    add(state, StepSpec(20, SIZE))
+    starts = Planner().plan(state, 0, 0).starts
     assert len(starts) == 8
 
 
 def test_at_most_so_many_tasks_of_a_step_share_a_worker() -> None:
-    book = make_book(3)
-    add(book, StepSpec(9, SIZE, max_per_worker=2))
-    starts = Planner().plan(book, 0, 0).starts
+    state = make_state(3)
+    add(state, StepSpec(9, SIZE, max_per_worker=2))
+    starts = Planner().plan(state, 0, 0).starts
     counts = [
         sum(start.worker_id == name for start in starts)
-        for name in book.workers_by_id
+        for name in state.workers_by_id
     ]
     assert counts == [2, 2, 2]
 
 
 def test_a_required_label_is_kept() -> None:
-    book = make_book(2)
-    book.put_worker(
+    state = make_state(2)
+    state.update_worker(
         WorkerInfo(
             "w9", "app", "10.0.0.9:1", "z", "r9", frozenset(("gpu",))
         )._replace(capacity=Resources(8_000, 16_000))
     ).is_usable = True
-    add(book, StepSpec(2, SIZE, label="gpu"))
-    starts = Planner().plan(book, 0, 0).starts
+    add(state, StepSpec(2, SIZE, label="gpu"))
+    starts = Planner().plan(state, 0, 0).starts
     assert {start.worker_id for start in starts} == {"w9"}
 
 
 def test_a_draining_worker_gets_nothing() -> None:
-    book = make_book(2, is_draining=True)
-    add(book, StepSpec(2, SIZE))
-    assert not Planner().plan(book, 0, 0).starts
+    state = make_state(2, is_draining=True)
+    add(state, StepSpec(2, SIZE))
+    assert not Planner().plan(state, 0, 0).starts
 
 
 def test_urgent_work_comes_first() -> None:
-    book = make_book(1)
-    add(book, StepSpec(4, SIZE), name="bulk", priority=2)
-    add(book, StepSpec(4, SIZE), name="urgent", priority=0)
-    starts = Planner().plan(book, 0, 0).starts
+    state = make_state(1)
+    add(state, StepSpec(4, SIZE), name="bulk", priority=2)
+    add(state, StepSpec(4, SIZE), name="urgent", priority=0)
+    starts = Planner().plan(state, 0, 0).starts
     assert {start.task.job_id for start in starts} == {"urgent"}
 
 
 def test_an_occurrence_waits_until_it_is_due() -> None:
-    book = make_book()
+    state = make_state()
     queue = Queue("q", "h", "/", "app")
     spec = JobSpec("a", "q", "", (StepSpec(1, SIZE),), 2, 1_000, 500)
-    book.add_job(spec, queue, 0)
+    state.add_job(spec, queue, 0)
     planner = Planner()
-    assert not planner.plan(book, 0, 999).starts
-    assert len(planner.plan(book, 1, 1_000).starts) == 1
-    assert len(planner.plan(book, 2, 1_500).starts) == 2
+    assert not planner.plan(state, 0, 999).starts
+    assert len(planner.plan(state, 1, 1_000).starts) == 1
+    assert len(planner.plan(state, 2, 1_500).starts) == 2
 
 
 def test_a_gang_asks_for_all_its_tickets_together() -> None:
-    book = make_book(6)
+    state = make_state(6)
     big = Resources(5_000, 4_000)
-    add(book, StepSpec(4, big, is_gang=True), advice=ADVICE)
-    names = list(book.workers_by_id)
-    book.note_permits(STEP, names, [Permit(n, "t") for n in names], 2_500)
-    step = book.step(STEP)
+    add(state, StepSpec(4, big, is_gang=True), advice=ADVICE)
+    names = list(state.workers_by_id)
+    state.record_permits(STEP, names, [Permit(n, "t") for n in names], 2_500)
+    step = state.step(STEP)
     assert step is not None
     for name in names[:3]:
         del step.tickets_by_worker[name]
-    plan = Planner().plan(book, 0, 0)
+    plan = Planner().plan(state, 0, 0)
     assert not plan.starts
-    assert set(plan.asks[0].worker_ids) == set(names)
+    assert set(plan.permit_requests[0].worker_ids) == set(names)
 
 
 def test_a_gang_keeps_the_workers_that_it_asks_for() -> None:
-    book = make_book(4)
+    state = make_state(4)
     big = Resources(5_000, 4_000)
-    add(book, StepSpec(2, big, is_gang=True), name="a", advice=ADVICE)
-    add(book, StepSpec(4, big), name="b", priority=1)
-    names = list(book.workers_by_id)
-    book.note_permits(STEP, names, [Permit(n, "t") for n in names], 100)
-    step = book.step(STEP)
+    add(state, StepSpec(2, big, is_gang=True), name="a", advice=ADVICE)
+    add(state, StepSpec(4, big), name="b", priority=1)
+    names = list(state.workers_by_id)
+    state.record_permits(STEP, names, [Permit(n, "t") for n in names], 100)
+    step = state.step(STEP)
     assert step is not None
-    step.asking = frozenset(names[2:])
-    plan = Planner().plan(book, 1_000, 1_000)
+    step.in_flight_worker_ids = frozenset(names[2:])
+    plan = Planner().plan(state, 1_000, 1_000)
     assert {start.worker_id for start in plan.starts} == set(names[:2])
