--- a/src/magnoliapitch/control/__init__.py
+++ b/src/magnoliapitch/control/__init__.py
@@ -1,4 +1,4 @@
-"""The instance that decides: orders, leases and stored progress."""
+"""The leader: plans, orders to workers, leases and stored progress."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -1,4 +1,4 @@
-"""Turns plans into stored progress and orders, and reports into facts."""
+"""Decisions of the leader, made from events and carried out by effects."""
 
 from __future__ import annotations
 
@@ -43,15 +43,23 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
+# Added to the expected duration of an advisor call.
 ADVISOR_BASE_TIMEOUT_MS = 2_000
 
 
 class Controller:
-    """Decides for all workers under one epoch; used by one thread.
-
-    :param leader: the claim under which it decides.
-    :param claimed_ms: when the claim was stored, by our clock.
-    :ivar is_over: another instance leads; nothing more may be ordered.
+    """Schedules tasks on all workers while this instance leads.
+
+    It stands for one epoch of leadership, handles events, plans rounds and
+    leaves calls to its effects. One thread uses it; only
+    ``next_lease_deadline`` is also called by the lease renewal threads.
+
+    :param leader: stored claim to leadership, with its epoch.
+    :param claimed_ms: when the claim was stored, by this instance's clock.
+    :param configuration: returns the newest configuration, or None if none
+        was read yet.
+    :ivar is_over: whether the leadership has ended; no leases or orders may
+        be issued from then on.
     """
 
     def __init__(
@@ -82,9 +90,9 @@
         self._report_applier = ReportApplier(self.state, self.planner, metrics)
         self._uncommitted_starts: list[PlannedStart] = []
         self._starts_in_commit: list[PlannedStart] = []
-        self._ends_in_commit_by_worker: dict[str, int] = {}
-        self._last_end_by_worker: dict[str, int] = {}
-        self._commit_in_flight = False
+        self._end_sequences_in_commit_by_worker: dict[str, int] = {}
+        self._last_end_sequence_by_worker: dict[str, int] = {}
+        self._is_commit_in_flight = False
         self._stored_ms = claimed_ms
         self._progress_batcher = ProgressBatcher(
             self.state, state_table, leader, timing, effects.delete_jobs
@@ -92,11 +100,11 @@
 
     @property
     def epoch(self) -> int:
-        """Return the fencing token of every order."""
+        """Return the epoch, which is the fencing token of every order."""
         return self._leader.epoch
 
     def load(self, now_ms: int) -> None:
-        """Take over every open job from the replica."""
+        """Add every open job from the replica of the store."""
         self._progress_batcher.load(now_ms)
         for job in self._replica.jobs():
             self._add_job(job, now_ms)
@@ -107,20 +115,27 @@
         )
 
     def may_issue_orders(self, now_ms: int) -> bool:
-        """Return whether leases and orders may be given at a time."""
+        """Return whether leases and orders may be issued at a time.
+
+        They may not if the last stored record is too old, since another
+        instance may lead by then.
+        """
         age_ms = now_ms - self._stored_ms
         return not self.is_over and age_ms <= self._timing.max_leader_silence_ms
 
-    def deadline(self, worker_id: str, now_ms: int) -> int | None:
-        """Return the end of a worker's next lease, or None for none."""
+    def next_lease_deadline(self, worker_id: str, now_ms: int) -> int | None:
+        """Return the end of a worker's next lease on the worker's clock.
+
+        :return: the end in ms, or None if no lease may be granted.
+        """
         if not self.may_issue_orders(now_ms):
             return None
-        return self._reachability.deadline(worker_id, now_ms)
+        return self._reachability.next_lease_deadline(worker_id, now_ms)
 
     def handle_worker_list(self, event: WorkersListed) -> None:
-        """Take over the platform's list of workers."""
+        """Update the workers from the platform's list."""
         self._info_by_worker = dict(event.info_by_id)
-        self._order_issuer.listed_by_id = self._info_by_worker
+        self._order_issuer.info_by_worker_id = self._info_by_worker
         for worker_id, info in self._info_by_worker.items():
             known = self.state.workers_by_id.get(worker_id)
             is_new = known is None or known.info is None
@@ -136,7 +151,7 @@
                 log_event("worker-draining", worker=worker_id)
 
     def handle_jobs_changed(self, job_ids: frozenset[str], now_ms: int) -> None:
-        """Take over submitted and cancelled jobs."""
+        """Add submitted jobs and cancel cancelled ones."""
         for job_id in job_ids:
             stored = self._replica.get(job_id)
             known = self.state.jobs_by_id.get(job_id)
@@ -148,7 +163,10 @@
                 self.state.cancel_job(job_id)
 
     def handle_configuration_changed(self, now_ms: int) -> None:
-        """Take over a newer configuration."""
+        """Apply a newer configuration to the jobs' queues.
+
+        Stored jobs whose queue is defined again are added.
+        """
         configuration = self._configuration()
         if configuration is None:
             return
@@ -160,31 +178,31 @@
                 self._add_job(stored, now_ms)
 
     def handle_report(self, event: WorkerReported) -> None:
-        """Take over what a worker runs and what has ended there."""
+        """Apply a worker's report of active and ended runs, or a failure."""
         worker_id = event.worker_id
         if isinstance(event.outcome, Err):
-            if not self._is_final(worker_id, event.outcome.err_value):
+            if not self._handle_final_failure(worker_id, event.outcome.err_value):
                 self._reachability.record_unanswered_renewal(worker_id)
             return
         report = event.outcome.ok_value
         self._reachability.record_answer(
             worker_id, report.clock_ms, event.sent_ms, event.received_ms
         )
-        reading = self._report_applier.read(
+        applied = self._report_applier.apply(
             worker_id, report, event.sent_ms, event.received_ms
         )
-        self._last_end_by_worker[worker_id] = reading.last_end
-        for order in reading.unexpected:
+        self._last_end_sequence_by_worker[worker_id] = applied.last_end_sequence
+        for order in applied.unexpected:
             info = self._info_by_worker.get(worker_id)
             if info is not None:
                 token = self._leader.epoch
                 self._effects.order_stop(info, order._replace(token=token))
-        if not self.state.unsaved_job_ids and not self._commit_in_flight:
-            self._effects.acknowledge(worker_id, reading.last_end)
+        if not self.state.unsaved_job_ids and not self._is_commit_in_flight:
+            self._effects.acknowledge(worker_id, applied.last_end_sequence)
 
     def handle_start_answer(self, event: StartAnswered) -> None:
-        """Take over the answer to an order to start."""
-        planned = event.start
+        """Apply the answer to a start order, or its failure."""
+        planned = event.planned
         run = self.state.run(planned.task, planned.run, planned.worker_id)
         if not isinstance(event.outcome, Err):
             if run is not None and run.confirmed_ms is None:
@@ -192,7 +210,7 @@
             return
         failure = event.outcome.err_value
         self._order_issuer.record_failed_start(planned, failure)
-        if self._is_final(planned.worker_id, failure):
+        if self._handle_final_failure(planned.worker_id, failure):
             return
         if run is None or run.confirmed_ms is not None:
             return
@@ -204,32 +222,35 @@
             self.state.mark_for_stop(run)
 
     def handle_stop_answer(self, event: StopAnswered) -> None:
-        """Take over the answer to an order to stop."""
+        """Apply the answer to a stop order, or its failure."""
         run = self.state.run(event.task, event.run, event.worker_id)
         if not isinstance(event.outcome, Err):
             if run is not None:
                 run.stopped_ms = event.received_ms
             return
-        if not self._is_final(event.worker_id, event.outcome.err_value):
+        if not self._handle_final_failure(event.worker_id, event.outcome.err_value):
             self._reachability.record_unanswered_order(event.worker_id, event.received_ms)
 
     def handle_commit(self, event: Committed, now_ms: int) -> None:
-        """Go on with what waited for the store."""
-        self._commit_in_flight = False
+        """Acknowledge ends and issue starts that waited for the commit.
+
+        A failed commit ends the leadership.
+        """
+        self._is_commit_in_flight = False
         if isinstance(event.outcome, Err):
-            self.end(event.outcome.err_value.detail)
+            self.stop_leading(event.outcome.err_value.detail)
             return
         self._stored_ms = max(self._stored_ms, event.sent_ms)
         self._progress_batcher.record_stored(now_ms)
-        for worker_id, number in self._ends_in_commit_by_worker.items():
-            self._effects.acknowledge(worker_id, number)
+        for worker_id, sequence in self._end_sequences_in_commit_by_worker.items():
+            self._effects.acknowledge(worker_id, sequence)
         starts, self._starts_in_commit = self._starts_in_commit, []
         for planned in starts:
-            deadline_ms = self.deadline(planned.worker_id, now_ms)
+            deadline_ms = self.next_lease_deadline(planned.worker_id, now_ms)
             self._order_issuer.start(planned, deadline_ms, now_ms)
 
     def handle_permits(self, event: PermitsAnswered) -> None:
-        """Take over an answer of the advisor."""
+        """Record the permits that the advisor gave, or log its failure."""
         step = self.state.step(event.request.step)
         if step is None:
             return
@@ -259,8 +280,11 @@
             event.sent_ms + valid_ms,
         )
 
-    def step(self, now_ms: int, wall_ms: int) -> None:
-        """Plan a round and store what it changes."""
+    def run_round(self, now_ms: int, wall_ms: int) -> None:
+        """Plan a round, issue its actions and commit the changes.
+
+        :param wall_ms: wall-clock time, ms since 1970.
+        """
         if self.is_over:
             return
         self._check_workers(now_ms)
@@ -308,12 +332,15 @@
                 if self._effects.request_permits(request, timeout_ms):
                     step.in_flight_worker_ids = frozenset(request.worker_ids)
 
-    def end(self, reason: str) -> None:
-        """Decide nothing more."""
+    def stop_leading(self, reason: str) -> None:
+        """End the leadership; no more orders are issued.
+
+        :param reason: reason that the log gives.
+        """
         if not self.is_over:
             self.is_over = True
             log_event(
-                "leadership-lost", epoch=self._leader.epoch, reason=reason
+                "leadership-lost_count", epoch=self._leader.epoch, reason=reason
             )
 
     def _add_job(self, stored: StoredJob, now_ms: int) -> None:
@@ -326,7 +353,7 @@
             return
         queue = configuration.queues_by_name.get(spec.queue)
         if queue is None:
-            # The queue was removed; its jobs wait for its return.
+            # The queue was removed; its jobs wait until it is defined again.
             log_event("queue-missing", job=spec.job_id, queue=spec.queue)
             return
         self.state.add_job(spec, queue, now_ms, stored.progress)
@@ -334,10 +361,13 @@
         if stored.is_cancelled:
             self.state.cancel_job(spec.job_id)
 
-    def _is_final(self, worker_id: str, failure: Failure) -> bool:
-        """Act on a failure that ends this leadership or the worker."""
+    def _handle_final_failure(self, worker_id: str, failure: Failure) -> bool:
+        """Handle a failure that ends the leadership or removes the worker.
+
+        :return: whether the failure was of that kind.
+        """
         if failure.code is FailureCode.FENCED:
-            self.end("a worker has seen a higher token")
+            self.stop_leading("a worker refused a call: it has seen a higher fencing token")
         elif failure.code is FailureCode.REPLACED:
             self._remove_worker(worker_id, "replaced")
         else:
@@ -353,15 +383,15 @@
                 is_reachable and not is_avoided and worker_id in self._info_by_worker
             )
             if not is_reachable:
-                self._check_expired_leases(worker, now_ms)
+                self._lose_runs_if_leases_expired(worker, now_ms)
 
-    def _check_expired_leases(self, worker: TrackedWorker, now_ms: int) -> None:
+    def _lose_runs_if_leases_expired(self, worker: TrackedWorker, now_ms: int) -> None:
         worker_id = worker.worker_id
         if now_ms < self._reachability.leases_expired_at_ms(worker_id):
             return
-        lost = self.state.lose_runs(worker_id)
-        if lost:
-            log_event("worker-lease-over", worker=worker_id, lost_runs=lost)
+        lost_count = self.state.lose_runs(worker_id)
+        if lost_count:
+            log_event("worker-lease-over", worker=worker_id, lost_runs=lost_count)
         if worker_id not in self._info_by_worker:
             self._remove_worker(worker_id, "unlisted")
 
@@ -377,19 +407,19 @@
         )
         self._effects.stop_lease_renewal(worker_id)
         self.state.remove_worker(worker_id)
-        self._last_end_by_worker.pop(worker_id, None)
+        self._last_end_sequence_by_worker.pop(worker_id, None)
         self._info_by_worker.pop(worker_id, None)
         self._reachability.forget(worker_id)
         self._report_applier.forget(worker_id)
         self.planner.worker_backoff.forget(worker_id)
 
     def _commit(self, now_ms: int) -> None:
-        if self._commit_in_flight:
+        if self._is_commit_in_flight:
             return
         batch = self._progress_batcher.next_batch(now_ms, bool(self._uncommitted_starts))
         if batch is None:
             return
-        self._ends_in_commit_by_worker = dict(self._last_end_by_worker)
+        self._end_sequences_in_commit_by_worker = dict(self._last_end_sequence_by_worker)
         self._starts_in_commit, self._uncommitted_starts = self._uncommitted_starts, []
-        self._commit_in_flight = True
+        self._is_commit_in_flight = True
         self._effects.commit(batch)
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -1,4 +1,4 @@
-"""Runs a controller: its thread, its calls and its events."""
+"""Runs the controller while this instance leads, with threads for calls."""
 
 from __future__ import annotations
 
@@ -60,13 +60,17 @@
 ROUND_INTERVAL_MS = 6
 MAX_EVENT_WAIT_MS = 200
 COMMIT_RETRY_DELAY_MS = 80
-# One call drops at most this many jobs.
+# Limit for one call to the store.
 MAX_JOBS_PER_DELETION = 500
 STANDBY_POLL_INTERVAL_MS = 50
 
 
 class Clients(NamedTuple):
-    """Outside systems that a leader calls."""
+    """Clients of the systems that a leader calls.
+
+    :param lanes: distributes advisor calls over the instances.
+    :param members: lists the other instances.
+    """
 
     workers: WorkerClient
     lanes: LanePool
@@ -75,7 +79,13 @@
 
 
 class ControlDriver:
-    """Decides while this instance leads; also the controller's effects."""
+    """Runs a controller while this instance leads and is its ``Effects``.
+
+    :param configuration: returns the newest configuration, or None if none
+        was read yet.
+    :param open_archive: opens the archive of jobs; takes a callback for the
+        ids of jobs that were submitted or cancelled.
+    """
 
     def __init__(
         self,
@@ -101,34 +111,37 @@
         self._events: queue.SimpleQueue[Event] = queue.SimpleQueue()
         self._renewer_by_worker: dict[str, LeaseRenewer] = {}
         self._controller: Controller | None = None
-        self._sender = OrderSender(clients.workers, clock, self.post, metrics)
-        self._commits = ThreadPoolExecutor(1, "commits")
-        self._advisor_calls = ThreadPoolExecutor(ADVISOR_THREAD_COUNT, "permit_requests")
-        self._list_reader = ThreadPoolExecutor(1, "lists")
-        self._is_listing = False
-        self._listed_ms = 0
+        self._order_sender = OrderSender(clients.workers, clock, self.post, metrics)
+        self._commit_executor = ThreadPoolExecutor(1, "commits")
+        self._advisor_executor = ThreadPoolExecutor(ADVISOR_THREAD_COUNT, "asks")
+        self._list_executor = ThreadPoolExecutor(1, "lists")
+        self._is_refreshing = False
+        self._refreshed_ms = 0
         self._is_stopping = False
 
     def post(self, event: Event) -> None:
-        """Hand an event to the controller, if there is one."""
+        """Queue an event for the controller; drop it if there is none."""
         if self._controller is not None:
             self._events.put(event)
 
     def stop(self) -> None:
-        """Decide nothing more."""
+        """Stop after the current round and resign from leadership."""
         self._is_stopping = True
 
     def step(self) -> int:
-        """Decide one round if this instance leads."""
-        controller = self._controller or self._begin()
+        """Run one round if this instance leads.
+
+        :return: pause until the next call, in milliseconds.
+        """
+        controller = self._controller or self._start_leading()
         if controller is None:
             return STANDBY_POLL_INTERVAL_MS
         if controller.is_over or self._is_stopping:
-            self._end()
+            self._stop_leading()
             return STANDBY_POLL_INTERVAL_MS
-        return self._round(controller)
+        return self._run_round(controller)
 
-    def _begin(self) -> Controller | None:
+    def _start_leading(self) -> Controller | None:
         claim = self._leadership.claim
         if claim is None or self._is_stopping:
             return None
@@ -139,7 +152,7 @@
                 self._handle_unprepared(outcome.err_value)
                 return None
         self._events = queue.SimpleQueue()
-        self._listed_ms = 0
+        self._refreshed_ms = 0
         controller = Controller(
             claim.record,
             claim.stored_ms,
@@ -156,7 +169,10 @@
         return controller
 
     def follow_jobs(self) -> int:
-        """Read newly submitted jobs while this instance leads."""
+        """Read newly submitted jobs if this instance leads.
+
+        :return: pause until the next call, in milliseconds.
+        """
         archive = self._archive
         return STANDBY_POLL_INTERVAL_MS if archive is None else archive.step()
 
@@ -165,23 +181,23 @@
             self._leadership.step_down()
         log_event("leadership-unprepared", reason=failure.detail)
 
-    def _end(self) -> None:
+    def _stop_leading(self) -> None:
         self._controller = None
         self._archive = None
         for worker_id in list(self._renewer_by_worker):
             self.stop_lease_renewal(worker_id)
         if self._is_stopping:
-            self._commits.shutdown()
+            self._commit_executor.shutdown()
             self._leadership.resign()
         self._leadership.step_down()
 
-    def _round(self, controller: Controller) -> int:
+    def _run_round(self, controller: Controller) -> int:
         started_ms = self._clock.now_ms()
-        self._list_workers(started_ms)
+        self._refresh_worker_list(started_ms)
         for event in self._next_events():
-            self._handle(controller, event)
+            self._dispatch(controller, event)
         now_ms = self._clock.now_ms()
-        controller.step(now_ms, time.time_ns() // 1_000_000)
+        controller.run_round(now_ms, time.time_ns() // 1_000_000)
         elapsed_ms = self._clock.now_ms() - started_ms
         return max(0, ROUND_INTERVAL_MS - elapsed_ms)
 
@@ -194,7 +210,7 @@
         except queue.Empty:
             return events
 
-    def _handle(self, controller: Controller, event: Event) -> None:
+    def _dispatch(self, controller: Controller, event: Event) -> None:
         now_ms = self._clock.now_ms()
         if isinstance(event, WorkerReported):
             controller.handle_report(event)
@@ -213,12 +229,12 @@
         elif isinstance(event, ConfigurationChanged):
             controller.handle_configuration_changed(now_ms)
 
-    def _list_workers(self, now_ms: int) -> None:
-        is_due = now_ms - self._listed_ms >= WORKER_LIST_INTERVAL_MS
-        if is_due and not self._is_listing:
-            self._is_listing = True
-            self._listed_ms = now_ms
-            self._list_reader.submit(self._list_now)
+    def _refresh_worker_list(self, now_ms: int) -> None:
+        is_due = now_ms - self._refreshed_ms >= WORKER_LIST_INTERVAL_MS
+        if is_due and not self._is_refreshing:
+            self._is_refreshing = True
+            self._refreshed_ms = now_ms
+            self._list_executor.submit(self._refresh_now)
 
     def _delete_jobs_now(self) -> None:
         archive = self._archive
@@ -228,13 +244,13 @@
         if not isinstance(archive.forget(job_ids), Err):
             self._job_ids_to_delete.difference_update(job_ids)
 
-    def _list_now(self) -> None:
+    def _refresh_now(self) -> None:
         self._delete_jobs_now()
         peers = self._clients.members.peers()
         if not isinstance(peers, Err):
             self._clients.lanes.set_peers(peers.ok_value)
         outcome = self._clients.directory.workers()
-        self._is_listing = False
+        self._is_refreshing = False
         if isinstance(outcome, Err):
             log_event(
                 "worker-list-unavailable", reason=outcome.err_value.detail
@@ -243,7 +259,7 @@
         self.post(WorkersListed(outcome.ok_value))
 
     def start_lease_renewal(self, worker: WorkerInfo) -> None:
-        """Renew a worker's lease from now on."""
+        """Start a thread that renews a worker's lease repeatedly."""
         controller = self._controller
         if controller is None:
             return
@@ -253,61 +269,64 @@
             controller.epoch,
             self._clients.workers,
             self._clock,
-            lambda now_ms: controller.deadline(worker_id, now_ms),
+            lambda now_ms: controller.next_lease_deadline(worker_id, now_ms),
             self.post,
         )
         self._renewer_by_worker[worker_id] = renewer
-        renewer.open()
+        renewer.start()
 
     def stop_lease_renewal(self, worker_id: str) -> None:
-        """Renew a worker's lease no more."""
+        """Stop the thread that renews a worker's lease, if there is one."""
         renewer = self._renewer_by_worker.pop(worker_id, None)
         if renewer is not None:
-            renewer.close()
+            renewer.stop()
 
-    def acknowledge(self, worker_id: str, number: int) -> None:
-        """Let a worker forget ends up to a number."""
+    def acknowledge(self, worker_id: str, sequence: int) -> None:
+        """Let a worker drop ended runs up to a sequence number."""
         renewer = self._renewer_by_worker.get(worker_id)
         if renewer is not None:
-            renewer.acknowledge(number)
+            renewer.acknowledge(sequence)
 
     def start(
         self, worker: WorkerInfo, planned: PlannedStart, order: StartOrder
     ) -> None:
         """Order a worker to start a run."""
-        self._sender.start(worker, planned, order)
+        self._order_sender.start(worker, planned, order)
 
     def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         """Order a worker to stop a run."""
-        self._sender.order_stop(worker, order)
+        self._order_sender.order_stop(worker, order)
 
     def commit(self, batch: Batch) -> None:
         """Store records under the leader's epoch."""
-        self._commits.submit(self._commit_now, batch)
+        self._commit_executor.submit(self._commit_now, batch)
 
     def delete_jobs(self, job_ids: Sequence[str]) -> None:
-        """Drop stored jobs that are over, many together."""
+        """Mark stored jobs for deletion, which happens in batches."""
         self._job_ids_to_delete.update(job_ids)
 
     def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
-        """Ask the advisor, unless all that can ask are busy."""
+        """Call the advisor for permits if a lane is idle.
+
+        :return: whether the call was started.
+        """
         lane = self._clients.lanes.reserve(request)
         if lane is None:
             return False
-        self._advisor_calls.submit(self._request_permits_now, lane, request, timeout_ms)
+        self._advisor_executor.submit(self._request_permits_now, lane, request, timeout_ms)
         return True
 
     def available_advisor_calls(self) -> int:
-        """Return how many calls to the advisor can be begun now."""
+        """Return the number of advisor calls that can be started now."""
         return self._clients.lanes.idle()
 
     def _commit_now(self, batch: Batch) -> None:
-        outcome: Result[int, Failure] = Err(_over())
+        outcome: Result[int, Failure] = Err(_stopped())
         sent_ms = self._clock.now_ms()
         while not self._is_stopping and self._controller is not None:
             sent_ms = self._clock.now_ms()
             outcome = self._leadership.commit(batch)
-            if isinstance(outcome, Ok) or _is_final(outcome.err_value):
+            if isinstance(outcome, Ok) or _is_permanent(outcome.err_value):
                 break
             time.sleep(COMMIT_RETRY_DELAY_MS / 1000)
         self.post(Committed(outcome, sent_ms))
@@ -318,7 +337,7 @@
         self.post(PermitsAnswered(request, outcome, sent_ms))
 
 
-def _is_final(failure: Failure) -> bool:
+def _is_permanent(failure: Failure) -> bool:
     return failure.code in (
         FailureCode.FENCED,
         FailureCode.SEQUENCE,
@@ -326,5 +345,5 @@
     )
 
 
-def _over() -> Failure:
-    return not_run(FailureCode.SHUTTING_DOWN, "the instance stops")
+def _stopped() -> Failure:
+    return not_run(FailureCode.SHUTTING_DOWN, "this instance is stopping")
--- a/src/magnoliapitch/control/effects.py
+++ b/src/magnoliapitch/control/effects.py
@@ -1,4 +1,4 @@
-"""What the controller has done by others, without waiting."""
+"""Interface to the side effects of the controller."""
 
 from __future__ import annotations
 
@@ -18,16 +18,22 @@
 
 
 class Effects(Protocol):
-    """Each call is answered later by an event, except where noted."""
+    """Calls that a controller makes without waiting for their outcome.
+
+    The outcome of each arrives later as an event, except where noted.
+    """
 
     def start_lease_renewal(self, worker: WorkerInfo) -> None:
-        """Renew a worker's lease from now on, again and again."""
+        """Renew a worker's lease repeatedly; an event follows each call."""
 
     def stop_lease_renewal(self, worker_id: str) -> None:
-        """Renew a worker's lease no more; no event follows."""
+        """Stop renewing a worker's lease; no event follows."""
+
+    def acknowledge(self, worker_id: str, sequence: int) -> None:
+        """Let a worker drop ended runs up to a sequence number.
 
-    def acknowledge(self, worker_id: str, number: int) -> None:
-        """Let a worker forget ends up to a number; no event follows."""
+        No event follows.
+        """
 
     def start(
         self, worker: WorkerInfo, planned: PlannedStart, order: StartOrder
@@ -41,13 +47,13 @@
         """Store records under the leader's epoch."""
 
     def delete_jobs(self, job_ids: Sequence[str]) -> None:
-        """Drop stored jobs that are over; no event follows."""
+        """Delete stored jobs that have ended; no event follows."""
 
     def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
-        """Ask the advisor, unless all that can ask are busy.
+        """Call the advisor for permits, unless every lane to it is busy.
 
-        :return: whether the call was begun and an event will follow.
+        :return: whether the call was started and an event will follow.
         """
 
     def available_advisor_calls(self) -> int:
-        """Return how many calls to the advisor can be begun now."""
+        """Return the number of advisor calls that can be started now."""
--- a/src/magnoliapitch/control/events.py
+++ b/src/magnoliapitch/control/events.py
@@ -1,4 +1,4 @@
-"""What the controller is told."""
+"""Events that the controller handles."""
 
 from __future__ import annotations
 
@@ -29,14 +29,15 @@
 
 
 class ConfigurationChanged(NamedTuple):
-    """A newer configuration is in force."""
+    """A newer version of the configuration was read."""
 
 
 class WorkerReported(NamedTuple):
-    """A worker's lease was renewed, or not.
+    """A lease renewal was answered or has failed.
 
-    :param sent_ms: when the call was sent, by our clock.
-    :param received_ms: when it was answered, by our clock.
+    :param sent_ms: when the call was sent, by this instance's clock.
+    :param received_ms: when it was answered or had failed, by this
+        instance's clock.
     """
 
     worker_id: str
@@ -46,16 +47,22 @@
 
 
 class StartAnswered(NamedTuple):
-    """An order to start was answered, or not."""
+    """A start order was answered or has failed.
 
-    start: PlannedStart
+    :param outcome: the worker's clock in ms, or the failure.
+    """
+
+    planned: PlannedStart
     outcome: Result[int, Failure]
     sent_ms: int
     received_ms: int
 
 
 class StopAnswered(NamedTuple):
-    """An order to stop was answered, or not."""
+    """A stop order was answered or has failed.
+
+    :param outcome: the worker's clock in ms, or the failure.
+    """
 
     task: TaskKey
     run: int
@@ -65,9 +72,9 @@
 
 
 class Committed(NamedTuple):
-    """Progress was stored, or the leadership is lost.
+    """A batch was stored, or could not be and the leadership is lost.
 
-    :param sent_ms: when the call that succeeded was sent.
+    :param sent_ms: when the last attempt was sent.
     """
 
     outcome: Result[int, Failure]
@@ -75,7 +82,7 @@
 
 
 class PermitsAnswered(NamedTuple):
-    """The advisor answered, or not."""
+    """An advisor call was answered or has failed."""
 
     request: PlannedPermitRequest
     outcome: Result[tuple[Permit, ...], Failure]
--- a/src/magnoliapitch/control/lease.py
+++ b/src/magnoliapitch/control/lease.py
@@ -1,4 +1,4 @@
-"""What is known of a worker's clock and of its lease."""
+"""The lease of a worker and the offset of the worker's clock."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class WorkerLease:
-    """The lease of one worker, on its own clock.
+    """Lease of one worker, which ends by the worker's own clock.
 
-    :param inherited_leases_end_ms: when a lease that a former leader gave is surely over.
+    :param inherited_leases_end_ms: when every lease that a former leader
+        granted has certainly expired, by this instance's clock.
     """
 
     def __init__(self, timing: ControlTiming, inherited_leases_end_ms: int) -> None:
@@ -28,30 +29,43 @@
 
     @property
     def has_clock(self) -> bool:
-        """Return whether the worker has told its clock."""
+        """Return whether an answer has told the worker's clock."""
         return self._clock_ms is not None
 
     def record_clock(
         self, clock_ms: int, sent_ms: int, received_ms: int
     ) -> None:
-        """Take over the worker's clock from an answer."""
+        """Record the worker's clock from an answer.
+
+        An answer to an earlier call than the newest recorded one is ignored.
+
+        :param clock_ms: the worker's clock.
+        :param sent_ms: when the call was sent, by this instance's clock.
+        :param received_ms: when it was answered, by this instance's clock.
+        """
         if sent_ms >= self._sent_ms:
             self._clock_ms = clock_ms
             self._sent_ms, self._received_ms = sent_ms, received_ms
 
     def next_deadline(self, now_ms: int) -> int:
-        """Return the end of a lease that is given now, and remember it."""
+        """Return the end of a lease that is granted now, and record it.
+
+        :raises ValueError: if no answer has told the worker's clock.
+        """
         if self._clock_ms is None:
-            raise ValueError("the worker's clock is not known")
+            raise ValueError("no lease can be granted: the worker's clock is not known")
         elapsed_ms = now_ms - self._received_ms
         deadline_ms = self._clock_ms + elapsed_ms + self._timing.lease_ms
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
         return deadline_ms
 
     def all_leases_expired_at_ms(self) -> int:
-        """Return when every lease given so far is surely over."""
+        """Return when every lease granted so far has certainly expired.
+
+        :return: time in ms, by this instance's clock.
+        """
         if self._clock_ms is None or not self._deadline_ms:
             return self._inherited_leases_end_ms
-        left_ms = (self._deadline_ms - self._clock_ms) / MIN_CLOCK_RATE_RATIO
-        own_ms = self._received_ms + int(left_ms) + LEASE_EXPIRY_MARGIN_MS
-        return max(own_ms, self._inherited_leases_end_ms if self._sent_ms == 0 else own_ms)
+        remaining_ms = (self._deadline_ms - self._clock_ms) / MIN_CLOCK_RATE_RATIO
+        granted_end_ms = self._received_ms + int(remaining_ms) + LEASE_EXPIRY_MARGIN_MS
+        return max(granted_end_ms, self._inherited_leases_end_ms if self._sent_ms == 0 else granted_end_ms)
--- a/src/magnoliapitch/control/lease_renewer.py
+++ b/src/magnoliapitch/control/lease_renewer.py
@@ -1,4 +1,4 @@
-"""Renews the lease of one worker again and again."""
+"""Repeated renewal of the lease of one worker."""
 
 from __future__ import annotations
 
@@ -20,16 +20,19 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-# Without this pause an end that is not stored yet would be listed again.
+# Longest wait for ended runs to be stored and acknowledged before the next
+# renewal; without the wait the worker would report them again.
 MAX_ACKNOWLEDGE_WAIT_MS = 400
 
 
 class LeaseRenewer:
-    """A thread that renews a lease and hands over each report.
+    """Thread that renews a worker's lease and posts each report.
 
-    :param deadline: returns the end of the next lease on the worker's
-        clock; None to timing only.
-    :param post: takes every report.
+    :param token: fencing token of the leader.
+    :param next_deadline: takes the current time; returns the end of the next
+        lease on the worker's clock in ms, or None to get a report without
+        extending the lease.
+    :param post: called with the outcome of every renewal.
     """
 
     def __init__(
@@ -38,61 +41,61 @@
         token: int,
         client: WorkerClient,
         clock: Clock,
-        deadline: Callable[[int], int | None],
+        next_deadline: Callable[[int], int | None],
         post: Callable[[WorkerReported], None],
     ) -> None:
         self._worker = worker
         self._token = token
         self._client = client
         self._clock = clock
-        self._deadline = deadline
+        self._next_deadline = next_deadline
         self._post = post
         self._condition = threading.Condition()
-        self._acknowledged = 0
-        self._last_end = 0
+        self._acknowledged_sequence = 0
+        self._last_end_sequence = 0
         self._pacing = RenewalPacing()
-        self._is_closed = False
+        self._is_stopped = False
         self._thread = threading.Thread(
             target=self._run, name=f"link-{worker.worker_id}", daemon=True
         )
 
-    def open(self) -> None:
-        """Start renewing."""
+    def start(self) -> None:
+        """Start the thread."""
         self._thread.start()
 
-    def close(self) -> None:
-        """Stop renewing after the call that is under way."""
+    def stop(self) -> None:
+        """Stop the thread after the call that is under way."""
         with self._condition:
-            self._is_closed = True
+            self._is_stopped = True
             self._condition.notify_all()
 
-    def acknowledge(self, number: int) -> None:
-        """Let the worker forget ends up to a number."""
+    def acknowledge(self, sequence: int) -> None:
+        """Let the worker drop ended runs up to a sequence number."""
         with self._condition:
-            self._acknowledged = max(self._acknowledged, number)
+            self._acknowledged_sequence = max(self._acknowledged_sequence, sequence)
             self._condition.notify_all()
 
     def _run(self) -> None:
-        while not self._is_closed:
+        while not self._is_stopped:
             pause_ms = self._renew_once()
             if pause_ms:
                 self._pause(pause_ms)
             self._wait_for_acknowledgement()
 
     def _renew_once(self) -> int:
-        """RenewalTiming at the worker once and return the pause until the next."""
+        """Renew once; return the pause before the next renewal, in ms."""
         sent_ms = self._clock.now_ms()
-        deadline_ms = self._deadline(sent_ms)
+        deadline_ms = self._next_deadline(sent_ms)
         timing = self._pacing.next_renewal(sent_ms)
         outcome = self._client.renew(
             self._worker,
             self._token,
             deadline_ms,
-            self._acknowledged,
+            self._acknowledged_sequence,
             timing.wait_ms if deadline_ms is not None else 0,
             timing.timeout_ms,
         )
-        if self._is_closed:
+        if self._is_stopped:
             return 0
         now_ms = self._clock.now_ms()
         self._post(
@@ -101,15 +104,15 @@
         if isinstance(outcome, Err):
             return self._pacing.record_unanswered(now_ms)
         for end in outcome.ok_value.ended:
-            self._last_end = max(self._last_end, end.sequence)
+            self._last_end_sequence = max(self._last_end_sequence, end.sequence)
         return self._pacing.record_answered(lease_granted=deadline_ms is not None)
 
     def _wait_for_acknowledgement(self) -> None:
         with self._condition:
-            if self._acknowledged < self._last_end and not self._is_closed:
+            if self._acknowledged_sequence < self._last_end_sequence and not self._is_stopped:
                 self._condition.wait(MAX_ACKNOWLEDGE_WAIT_MS / 1000)
 
     def _pause(self, duration_ms: int) -> None:
         with self._condition:
-            if not self._is_closed:
+            if not self._is_stopped:
                 self._condition.wait(duration_ms / 1000)
--- a/src/magnoliapitch/control/order_issuer.py
+++ b/src/magnoliapitch/control/order_issuer.py
@@ -1,4 +1,4 @@
-"""OrderIssuer to workers to start and stop runs."""
+"""Orders to workers to start and stop runs."""
 
 from __future__ import annotations
 
@@ -25,15 +25,16 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
+# An unanswered stop order is sent again after this time.
 STOP_RETRY_DELAY_MS = 600
-# A worker that refused a start gets nothing for this long.
+# A worker that refused a start gets no new runs for this long.
 REFUSED_START_BACKOFF_MS = 1_500
 
 
 class OrderIssuer:
-    """Sends orders under one epoch.
+    """Issues start and stop orders under one epoch of leadership.
 
-    :ivar listed_by_id: the platform's newest list of workers.
+    :ivar info_by_worker_id: the platform's newest list of workers.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         effects: Effects,
         metrics: Metrics,
     ) -> None:
-        self.listed_by_id: Mapping[str, WorkerInfo] = {}
+        self.info_by_worker_id: Mapping[str, WorkerInfo] = {}
         self._epoch = epoch
         self._state = state
         self._planner = planner
@@ -54,22 +55,26 @@
     def start(
         self, planned: PlannedStart, deadline_ms: int | None, now_ms: int
     ) -> None:
-        """Order a run that is stored.
+        """Order the start of a run whose record is stored.
 
-        It is taken back if it may not be ordered any more: a slow store
-        may have outlasted the lease, or the permit.
+        The run is removed instead if it may not be started any more. For
+        example, the ticket may have expired during a slow commit, or no
+        lease may be granted any more.
+
+        :param deadline_ms: end of the worker's lease on its own clock; None
+            if no lease may be granted.
         """
         run = self._state.run(planned.task, planned.run, planned.worker_id)
         if run is None:
             return
         job = run.task.step.job
-        info = self.listed_by_id.get(planned.worker_id)
+        info = self.info_by_worker_id.get(planned.worker_id)
         if (
             job.outcome is not JobOutcome.OPEN
             or info is None
             or info.is_draining
             or deadline_ms is None
-            or _is_expired(planned, run, now_ms)
+            or _is_ticket_expired(planned, run, now_ms)
         ):
             self._state.lose_run(run)
             return
@@ -85,9 +90,9 @@
         self._effects.start(info, planned, order)
 
     def stop(self, stop: PlannedStop, now_ms: int) -> None:
-        """Order a stop, again if an earlier one was not answered."""
+        """Order the stop of a run, again if an earlier order is unanswered."""
         run = self._state.run(stop.task, stop.run, stop.worker_id)
-        info = self.listed_by_id.get(stop.worker_id)
+        info = self.info_by_worker_id.get(stop.worker_id)
         if run is None or info is None or run.stopped_ms is not None:
             return
         sent_ms = run.stop_sent_ms
@@ -114,7 +119,11 @@
         failure: Failure,
         now_ms: int,
     ) -> None:
-        """Take a start back that a worker has surely not carried out."""
+        """Undo a start that a worker has certainly not carried out.
+
+        A ticket that was refused is dropped. Other refusals, except of a
+        stale run, keep the worker from new runs for a while.
+        """
         step = run.task.step
         self._state.lose_run(run)
         if failure.code is FailureCode.TICKET:
@@ -126,7 +135,7 @@
     def record_failed_start(
         self, planned: PlannedStart, failure: Failure
     ) -> None:
-        """Log and count an order to start that failed."""
+        """Log and count a start order that failed."""
         self._metrics.count("starts_failed", failure.code.value)
         log_event(
             "start-failed",
@@ -141,8 +150,8 @@
         )
 
 
-def _is_expired(planned: PlannedStart, run: TrackedRun, now_ms: int) -> bool:
+def _is_ticket_expired(planned: PlannedStart, run: TrackedRun, now_ms: int) -> bool:
     if not planned.ticket:
         return False
-    permit = run.task.step.tickets_by_worker.get(planned.worker_id)
-    return permit is None or permit[1] < now_ms
+    ticket = run.task.step.tickets_by_worker.get(planned.worker_id)
+    return ticket is None or ticket[1] < now_ms
--- a/src/magnoliapitch/control/order_sender.py
+++ b/src/magnoliapitch/control/order_sender.py
@@ -1,4 +1,4 @@
-"""Sends orders to workers, several at a time, again when unanswered."""
+"""Concurrent sending of orders to workers, with retries."""
 
 from __future__ import annotations
 
@@ -28,21 +28,23 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-# Unanswered orders must not hold up others: 1,000 orders a second, one in
-# ten unanswered for 150 ms, and a cut zone with 40 orders on their way.
+# Unanswered orders must not delay others: enough for 1,000 orders a second of
+# which one in ten is unanswered for 150 ms, while 40 orders are under way to
+# an unreachable zone.
 SENDER_THREAD_COUNT = 96
-# An answer comes within a few milliseconds, so the first repeat is early.
+# Workers normally answer within a few milliseconds, so the first retry is
+# early.
 ATTEMPT_TIMEOUTS_MS = (150, 200, 350)
 
 
 class OrderSender:
-    """Sends orders in threads of its own and posts their answers.
+    """Sends orders from a thread pool and posts their outcomes.
 
-    OrderIssuer are idempotent: a worker that has begun a run, or has ended or
-    stopped it, does not begin it again. So an order is repeated when no
-    answer comes, which is faster than to stop the run and start another.
+    Orders are idempotent: a worker that has begun a run, or has ended or
+    stopped it, does not begin it again. So an unanswered order is sent
+    again, which is faster than stopping the run and starting another.
 
-    :param post: takes every answer.
+    :param post: called with the outcome of every order.
     """
 
     def __init__(
@@ -56,28 +58,28 @@
         self._clock = clock
         self._post = post
         self._metrics = metrics
-        self._pool = ThreadPoolExecutor(SENDER_THREAD_COUNT, "orders")
+        self._executor = ThreadPoolExecutor(SENDER_THREAD_COUNT, "orders")
 
     def start(
         self, worker: WorkerInfo, planned: PlannedStart, order: StartOrder
     ) -> None:
         """Order a worker to start a run."""
         now_ms = self._clock.now_ms()
-        self._pool.submit(self._start_now, worker, planned, order, now_ms)
+        self._executor.submit(self._start_now, worker, planned, order, now_ms)
 
     def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         """Order a worker to stop a run."""
         now_ms = self._clock.now_ms()
-        self._pool.submit(self._stop_now, worker, order, now_ms)
+        self._executor.submit(self._stop_now, worker, order, now_ms)
 
     def _start_now(
         self,
         worker: WorkerInfo,
         planned: PlannedStart,
         order: StartOrder,
-        given_ms: int,
+        queued_ms: int,
     ) -> None:
-        sent_ms = self._record_queue_time("start", given_ms)
+        sent_ms = self._record_queue_time("start", queued_ms)
         outcome = retry_unanswered(
             lambda timeout_ms: self._workers.start(worker, order, timeout_ms)
         )
@@ -85,9 +87,9 @@
         self._post(StartAnswered(planned, outcome, sent_ms, now_ms))
 
     def _stop_now(
-        self, worker: WorkerInfo, order: StopOrder, given_ms: int
+        self, worker: WorkerInfo, order: StopOrder, queued_ms: int
     ) -> None:
-        self._record_queue_time("stop", given_ms)
+        self._record_queue_time("stop", queued_ms)
         outcome = retry_unanswered(
             lambda timeout_ms: self._workers.stop(worker, order, timeout_ms)
         )
@@ -101,22 +103,23 @@
             )
         )
 
-    def _record_queue_time(self, kind: str, given_ms: int) -> int:
+    def _record_queue_time(self, kind: str, queued_ms: int) -> int:
         sent_ms = self._clock.now_ms()
-        self._metrics.observe("order_queued", sent_ms - given_ms, kind)
+        self._metrics.observe("order_queued", sent_ms - queued_ms, kind)
         return sent_ms
 
 
 def retry_unanswered(
     call: Callable[[int], Result[int, Failure]],
 ) -> Result[int, Failure]:
-    """Make an idempotent call until it is answered, a few times at most.
+    """Make an idempotent call until it is answered or the attempts are used.
 
-    :param call: takes the time to wait for the answer, in milliseconds.
-    :return: the last outcome. A refusal after an unanswered attempt does
-        not say that the attempt was not carried out.
+    :param call: takes the timeout for the answer, in milliseconds.
+    :return: the last outcome. A refusal after an unanswered attempt gets the
+        verdict ``may_have_run``, since that attempt may have been carried
+        out.
     """
-    is_unsure = False
+    has_unanswered_attempt = False
     outcome: Result[int, Failure]
     for timeout_ms in ATTEMPT_TIMEOUTS_MS:
         outcome = call(timeout_ms)
@@ -125,7 +128,7 @@
         failure = outcome.err_value
         if failure.code is not FailureCode.TIMEOUT:
             break
-        is_unsure = True
-    if is_unsure:
+        has_unanswered_attempt = True
+    if has_unanswered_attempt:
         failure = failure._replace(verdict=Verdict.MAY_HAVE_RUN)
     return Err(failure)
--- a/src/magnoliapitch/control/progress_batcher.py
+++ b/src/magnoliapitch/control/progress_batcher.py
@@ -1,4 +1,4 @@
-"""What the leader stores: progress and the states of jobs."""
+"""Batches of the records that a leader stores: progress and job states."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
     from magnoliapitch.workload.progress import JobProgress
 
 
-# Shows the others that the leader lives while it has nothing to store.
+# Interval of the records that show the other instances that the leader is
+# alive while it has nothing else to store.
 HEARTBEAT_INTERVAL_MS = 300
 
 _STATE_BY_OUTCOME = {
@@ -40,9 +41,9 @@
 
 
 class ProgressBatcher:
-    """Collects what has changed into batches, one at a time.
+    """Collects changed progress and job states into one batch at a time.
 
-    :param delete_jobs: drops stored jobs that are over.
+    :param delete_jobs: deletes stored jobs that have ended.
     """
 
     def __init__(
@@ -61,34 +62,35 @@
         self._published_ms = 0
         self._progress_in_commit_by_id: dict[str, JobProgress] = {}
         self._states_in_commit_by_id: dict[str, ShownJob] = {}
-        # Jobs that the states do not tell of yet.
+        # Jobs whose current state may differ from the published one.
         self._unpublished_job_ids: set[str] = set()
-        # Jobs whose final state is stored.
+        # Jobs whose final progress is stored and that can be removed.
         self._finished_job_ids: set[str] = set()
         self._ended_ms_by_job: dict[str, int] = {}
 
     def load(self, now_ms: int) -> None:
-        """Begin with the states that former leaders have told."""
+        """Start from the job states that former leaders published."""
         self._published_ms = now_ms
         for job_id in self._state_table.ended_ids():
             self._ended_ms_by_job[job_id] = now_ms
 
     def has_ended(self, job_id: str) -> bool:
-        """Return whether a final state of a job is stored."""
+        """Return whether a final state of a job is published."""
         shown = self._state_table.get(job_id)
         return shown is not None and shown.state in FINAL_STATES
 
     def record_added(self, job_id: str) -> None:
-        """Note a job that was added to the state."""
+        """Record a job that was added to the scheduler's state."""
         self._unpublished_job_ids.add(job_id)
         if self._state.jobs_by_id[job_id].outcome is not JobOutcome.OPEN:
-            # A former leader stored the end but could not tell of it.
+            # A former leader stored the final progress but did not publish
+            # the final state.
             self._state.unsaved_job_ids.add(job_id)
 
     def next_batch(self, now_ms: int, has_starts: bool) -> Batch | None:
-        """Return what is to be stored now, or None for nothing.
+        """Return the batch to store now, or None if there is nothing to store.
 
-        :param has_starts: whether orders wait for the batch.
+        :param has_starts: whether start orders wait for the batch.
         """
         is_quiet = now_ms - self._published_ms < HEARTBEAT_INTERVAL_MS
         has_news = has_starts or self._state.unsaved_job_ids or self._unpublished_job_ids
@@ -100,7 +102,7 @@
         return batch
 
     def record_stored(self, now_ms: int) -> None:
-        """Note that the last batch was stored."""
+        """Record that the last batch was stored."""
         stored, self._progress_in_commit_by_id = self._progress_in_commit_by_id, {}
         for job_id, progress in stored.items():
             if progress.outcome is not JobOutcome.OPEN:
@@ -111,7 +113,7 @@
         self._states_in_commit_by_id = {}
 
     def _progress_records(self) -> tuple[KeyedRecord, ...]:
-        closed = self._remove_finished_jobs()
+        removed = self._remove_finished_jobs()
         self._unpublished_job_ids |= self._state.unsaved_job_ids
         self._progress_in_commit_by_id = {
             job_id: self._state.progress(job_id)
@@ -120,7 +122,7 @@
         }
         self._state.unsaved_job_ids.clear()
         return (
-            *(KeyedRecord(PROGRESS_PREFIX + job_id, b"") for job_id in closed),
+            *(KeyedRecord(PROGRESS_PREFIX + job_id, b"") for job_id in removed),
             *(
                 KeyedRecord(
                     PROGRESS_PREFIX + job_id, encode_progress(progress)
@@ -130,18 +132,21 @@
         )
 
     def _remove_finished_jobs(self) -> list[str]:
-        """Forget jobs whose final state is stored and that run nowhere."""
-        closed = [
+        """Remove jobs whose final progress is stored and without active runs.
+
+        :return: ids of the removed jobs.
+        """
+        removed = [
             job_id
             for job_id in self._finished_job_ids
             if job_id not in self._state.unsaved_job_ids and not self._has_runs(job_id)
         ]
-        for job_id in closed:
+        for job_id in removed:
             self._finished_job_ids.discard(job_id)
             self._state.remove_job(job_id)
-        if closed:
-            self._delete_jobs(closed)
-        return closed
+        if removed:
+            self._delete_jobs(removed)
+        return removed
 
     def _has_runs(self, job_id: str) -> bool:
         job = self._state.jobs_by_id.get(job_id)
@@ -150,12 +155,12 @@
         )
 
     def _state_records(self, now_ms: int) -> tuple[KeyedRecord, ...]:
-        unshown, self._unpublished_job_ids = self._unpublished_job_ids, set()
-        for job_id in sorted(unshown):
+        unpublished, self._unpublished_job_ids = self._unpublished_job_ids, set()
+        for job_id in sorted(unpublished):
             job = self._state.jobs_by_id.get(job_id)
             if job is None:
                 continue
-            shown = ShownJob(_state_of(job), job.spec.queue)
+            shown = ShownJob(_job_state(job), job.spec.queue)
             if self._state_table.get(job_id) != shown:
                 self._states_in_commit_by_id[job_id] = shown
         records = [
@@ -178,7 +183,7 @@
         return expired
 
 
-def _state_of(job: TrackedJob) -> JobState:
+def _job_state(job: TrackedJob) -> JobState:
     if job.outcome is not JobOutcome.OPEN:
         return _STATE_BY_OUTCOME[job.outcome]
     return JobState.RUNNING if job.has_begun else JobState.PENDING
--- a/src/magnoliapitch/control/renewal_pacing.py
+++ b/src/magnoliapitch/control/renewal_pacing.py
@@ -1,27 +1,29 @@
-"""How long the looks at one worker wait, and the pauses between them."""
+"""Wait times of lease renewals, and the pauses between them."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-# A look without a wait; one that is answered gives the worker's clock.
+# The worker answers at once. The first answer tells the worker's clock, which
+# a lease needs.
 IMMEDIATE_WAIT_MS = 0
-WAIT_MS = 1_000
-TIMEOUT_MS = 500
-FIRST_BACKOFF_MS = 20
-PAUSE_MS = 300
-# What ended while an answer was lost is known only after the next look, so
-# looks are short on a link that has lost one lately.
-LOSSY_MS = 10_000
+LONG_POLL_WAIT_MS = 1_000
+ANSWER_TIMEOUT_MS = 500
+FIRST_PAUSE_MS = 20
+REPEATED_PAUSE_MS = 300
+# A run that ended while an answer was lost is reported only by the next
+# renewal, so renewals are short for a while after an unanswered one.
+LOSSY_PERIOD_MS = 10_000
 LOSSY_WAIT_MS = 250
 LOSSY_TIMEOUT_MS = 300
 
 
 class RenewalTiming(NamedTuple):
-    """Times of the next look, in milliseconds.
+    """Wait times of one renewal, in milliseconds.
 
-    :param wait_ms: how long the worker may wait for an end.
+    :param wait_ms: how long the worker may hold back its answer until a run
+        ends (long polling).
     :param timeout_ms: how long to wait for the answer after that.
     """
 
@@ -30,39 +32,42 @@
 
 
 class RenewalPacing:
-    """Learns from the looks at one worker how to make the next ones."""
+    """Adapts the renewals of one worker to its latest answers."""
 
     def __init__(self) -> None:
-        self._lost_ms: int | None = None
-        self._lost_in_turn = 0
-        self._without_lease = 0
+        self._last_unanswered_ms: int | None = None
+        self._consecutive_unanswered_count = 0
+        self._answers_without_lease_count = 0
         self._is_first = True
 
     def next_renewal(self, now_ms: int) -> RenewalTiming:
-        """Return the times of a look that begins now."""
-        if self._is_first or self._lost_in_turn:
-            return RenewalTiming(IMMEDIATE_WAIT_MS, TIMEOUT_MS)
-        if self._lost_ms is not None and now_ms - self._lost_ms < LOSSY_MS:
+        """Return the wait times of a renewal that starts now."""
+        if self._is_first or self._consecutive_unanswered_count:
+            return RenewalTiming(IMMEDIATE_WAIT_MS, ANSWER_TIMEOUT_MS)
+        if self._last_unanswered_ms is not None and now_ms - self._last_unanswered_ms < LOSSY_PERIOD_MS:
             return RenewalTiming(LOSSY_WAIT_MS, LOSSY_TIMEOUT_MS)
-        return RenewalTiming(WAIT_MS, TIMEOUT_MS)
+        return RenewalTiming(LONG_POLL_WAIT_MS, ANSWER_TIMEOUT_MS)
 
     def record_unanswered(self, now_ms: int) -> int:
-        """Note an unanswered look and return the pause after it."""
+        """Record an unanswered renewal; return the pause after it, in ms."""
         self._is_first = False
-        self._lost_ms = now_ms
-        self._lost_in_turn += 1
-        return FIRST_BACKOFF_MS if self._lost_in_turn == 1 else PAUSE_MS
+        self._last_unanswered_ms = now_ms
+        self._consecutive_unanswered_count += 1
+        return FIRST_PAUSE_MS if self._consecutive_unanswered_count == 1 else REPEATED_PAUSE_MS
 
     def record_answered(self, *, lease_granted: bool) -> int:
-        """Note an answered look and return the pause after it.
+        """Record an answered renewal; return the pause after it, in ms.
 
-        Without a lease the worker does not wait. The first answer of a
-        worker makes a lease possible, so the next look follows at once.
+        Without a lease the worker answers at once, so a pause is needed.
+        The first answer of a worker makes a lease possible, so the next
+        renewal follows after a short one.
+
+        :param lease_granted: whether the renewal extended the lease.
         """
         self._is_first = False
-        self._lost_in_turn = 0
+        self._consecutive_unanswered_count = 0
         if lease_granted:
-            self._without_lease = 0
+            self._answers_without_lease_count = 0
             return 0
-        self._without_lease += 1
-        return FIRST_BACKOFF_MS if self._without_lease == 1 else PAUSE_MS
+        self._answers_without_lease_count += 1
+        return FIRST_PAUSE_MS if self._answers_without_lease_count == 1 else REPEATED_PAUSE_MS
--- a/src/magnoliapitch/control/reports.py
+++ b/src/magnoliapitch/control/reports.py
@@ -1,4 +1,4 @@
-"""Compares what a worker lists with what the state believes."""
+"""Application of workers' reports to the scheduler's state."""
 
 from __future__ import annotations
 
@@ -19,75 +19,78 @@
     from magnoliapitch.workload.run import WorkerReport
 
 
-# An unexpected run is stopped again after this time.
+# A run that is unknown but still reported is ordered to stop again after this
+# time.
 UNEXPECTED_RUN_STOP_RETRY_MS = 1_000
 
 
 class ReportOutcome(NamedTuple):
-    """What follows from a report.
+    """Outcome of applying a report.
 
-    :param last_end: highest end that has been taken over.
-    :param unexpected: runs to stop; the token is to be filled in.
+    :param last_end_sequence: sequence number of the last ended run that was
+        applied.
+    :param unexpected: stop orders for runs that are not known; the caller
+        sets the token.
     """
 
-    last_end: int
+    last_end_sequence: int
     unexpected: tuple[StopOrder, ...]
 
 
 class ReportApplier:
-    """Takes reports of workers over into a state."""
+    """Applies workers' reports to the scheduler's state."""
 
     def __init__(self, state: SchedulerState, planner: Planner, metrics: Metrics) -> None:
         self._state = state
         self._planner = planner
         self._metrics = metrics
-        self._last_end_by_worker: dict[str, int] = {}
+        self._last_end_sequence_by_worker: dict[str, int] = {}
         self._stopped_ms_by_order: dict[tuple[str, StopOrder], int] = {}
 
     def forget(self, worker_id: str) -> None:
-        """Forget a worker that is gone."""
-        self._last_end_by_worker.pop(worker_id, None)
+        """Drop the data of a worker that is gone."""
+        self._last_end_sequence_by_worker.pop(worker_id, None)
 
-    def read(
+    def apply(
         self,
         worker_id: str,
         report: WorkerReport,
         sent_ms: int,
         received_ms: int,
     ) -> ReportOutcome:
-        """Take over one report.
+        """Apply one report.
 
-        :param sent_ms: when the call was sent; what was ordered later may
-            be missing.
+        :param sent_ms: when the renewal was sent; runs that were ordered
+            later may be missing from the report.
         """
-        last_end = self._last_end_by_worker.get(worker_id, 0)
+        last_end_sequence = self._last_end_sequence_by_worker.get(worker_id, 0)
         for end in report.ended:
-            if end.sequence > last_end:
-                self._take_end(worker_id, end, received_ms)
-                last_end = end.sequence
-        self._last_end_by_worker[worker_id] = last_end
+            if end.sequence > last_end_sequence:
+                self._apply_end(worker_id, end, received_ms)
+                last_end_sequence = end.sequence
+        self._last_end_sequence_by_worker[worker_id] = last_end_sequence
         unexpected: list[StopOrder] = []
-        listed: set[int] = set()
+        reported_run_identities: set[int] = set()
         for running in report.running:
             run = self._state.run(running.task, running.run, worker_id)
             if run is None:
                 unexpected.append(StopOrder(running.task, running.run, 0))
                 continue
-            listed.add(id(run))
+            reported_run_identities.add(id(run))
             self._state.record_running(run, running, received_ms)
-        self._remove_absent(worker_id, listed, sent_ms)
-        return ReportOutcome(last_end, self._due(worker_id, unexpected, received_ms))
+        self._remove_absent_runs(worker_id, reported_run_identities, sent_ms)
+        return ReportOutcome(last_end_sequence, self._due_stops(worker_id, unexpected, received_ms))
 
-    def _take_end(self, worker_id: str, end: EndedRun, now_ms: int) -> None:
+    def _apply_end(self, worker_id: str, end: EndedRun, now_ms: int) -> None:
         run = self._state.run(end.task, end.run, worker_id)
         if run is not None and end.kind is EndKind.DONE:
-            self._log_avoided(self._planner.record_done(run, now_ms))
+            self._log_avoided_workers(self._planner.record_done(run, now_ms))
         if run is not None and end.kind is EndKind.FAILED:
             self._planner.record_failed(run)
         is_news = self._state.record_end(worker_id, end, now_ms)
         self._metrics.count("runs_ended", end.kind.value)
         if end.kind is EndKind.DONE and is_news:
-            self._log_done(end)
+            self._log_step_done(end)
             return
         log_event(
             "run-ended",
@@ -100,12 +103,12 @@
             is_news=is_news,
         )
 
-    def _log_avoided(self, pause_ms_by_worker: dict[str, int]) -> None:
+    def _log_avoided_workers(self, pause_ms_by_worker: dict[str, int]) -> None:
         for worker_id, pause_ms in pause_ms_by_worker.items():
             log_event("worker-avoided", worker=worker_id, pause_ms=pause_ms)
 
-    def _log_done(self, end: EndedRun) -> None:
-        """Log the end of a whole step instead of each task's."""
+    def _log_step_done(self, end: EndedRun) -> None:
+        """Log the end of a step once, instead of the end of each task."""
         step = self._state.step(end.task.step_key)
         if step is not None and step.is_done:
             log_event(
@@ -116,12 +119,12 @@
                 outcome=step.job.outcome,
             )
 
-    def _remove_absent(
-        self, worker_id: str, listed: set[int], sent_ms: int
+    def _remove_absent_runs(
+        self, worker_id: str, reported_run_identities: set[int], sent_ms: int
     ) -> None:
-        """Remove runs that the worker would list if they were going on."""
+        """Remove runs that the worker would report if they were active."""
         for run in list(self._state.worker(worker_id).runs):
-            if id(run) not in listed and _is_surely_absent(run, sent_ms):
+            if id(run) not in reported_run_identities and _is_certainly_absent(run, sent_ms):
                 log_event(
                     "run-absent",
                     job=run.task.key.job_id,
@@ -132,7 +135,7 @@
                 )
                 self._state.lose_run(run)
 
-    def _due(
+    def _due_stops(
         self, worker_id: str, orders: list[StopOrder], now_ms: int
     ) -> tuple[StopOrder, ...]:
         due: list[StopOrder] = []
@@ -148,9 +151,10 @@
         return tuple(due)
 
 
-def _is_surely_absent(run: TrackedRun, sent_ms: int) -> bool:
+def _is_certainly_absent(run: TrackedRun, sent_ms: int) -> bool:
     if run.is_restored:
-        # The call carried a higher token than any order to start it.
+        # The renewal carried a higher fencing token than any order to start
+        # the run, so the worker will not start it any more.
         return True
     if run.stopped_ms is not None:
         return sent_ms >= run.stopped_ms
--- a/src/magnoliapitch/control/timing.py
+++ b/src/magnoliapitch/control/timing.py
@@ -1,23 +1,23 @@
-"""Times that the safety of leases rests on."""
+"""Times and tolerances that keep leases safe."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-# Workers' clocks may be this much slower than ours.
+# Rate of the slowest worker clock that is tolerated, relative to ours.
 MIN_CLOCK_RATE_RATIO = 0.98
-# Covers timers that fire late and rounding to whole milliseconds.
+# Covers timers that fire late, and rounding to whole milliseconds.
 LEASE_EXPIRY_MARGIN_MS = 300
 
 
 class ControlTiming(NamedTuple):
     """Times of one deployment, in milliseconds.
 
-    :param lease_ms: length of the leases that workers are given.
-    :param max_leader_silence_ms: how long after its last stored record a leader may
-        go on giving leases and orders.
-    :param keep_states_ms: how long the state of an ended job is told.
+    :param lease_ms: length of a worker's lease.
+    :param max_leader_silence_ms: how long after its last stored record a
+        leader may issue leases and orders.
+    :param keep_states_ms: how long the state of an ended job stays published.
     """
 
     lease_ms: int
@@ -26,6 +26,9 @@
 
     @property
     def takeover_ms(self) -> int:
-        """Return how long orders of a replaced leader may have effect."""
+        """Return how long orders of a replaced leader may take effect.
+
+        This is the longest silence and a whole lease on the slowest clock.
+        """
         longest_ms = (self.max_leader_silence_ms + self.lease_ms) / MIN_CLOCK_RATE_RATIO
         return int(longest_ms) + LEASE_EXPIRY_MARGIN_MS
--- a/src/magnoliapitch/planner/worker_backoff.py
+++ b/src/magnoliapitch/planner/worker_backoff.py
@@ -5,7 +5,7 @@
 
 # Consecutive failures before a worker is avoided: a single one is put down
 # to the task, a second one in a row to the worker.
-MIN_FAILURES_COUNT = 2
+MIN_CONSECUTIVE_FAILURES = 2
 FIRST_BACKOFF_MS = 2_000
 MAX_BACKOFF_MS = 16_000
 
@@ -30,9 +30,9 @@
         """
         failures = self._failures_by_worker.get(worker_id, 0) + 1
         self._failures_by_worker[worker_id] = failures
-        if failures < MIN_FAILURES_COUNT:
+        if failures < MIN_CONSECUTIVE_FAILURES:
             return 0
-        doublings = failures - MIN_FAILURES_COUNT
+        doublings = failures - MIN_CONSECUTIVE_FAILURES
         pause_ms = min(FIRST_BACKOFF_MS << min(doublings, 8), MAX_BACKOFF_MS)
         self.avoid(worker_id, now_ms + pause_ms)
         return pause_ms
--- a/src/magnoliapitch/workload/__init__.py
+++ b/src/magnoliapitch/workload/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs of steps and tasks, the queues they wait in and their workers."""
+"""Data types of jobs, queues, workers and runs, and client interfaces."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/workload/client.py
+++ b/src/magnoliapitch/workload/client.py
@@ -1,4 +1,4 @@
-"""Interfaces to workers, to the advisor and to the platform's lists."""
+"""Client interfaces to workers, the advisor and the platform's lists."""
 
 from __future__ import annotations
 
@@ -25,26 +25,34 @@
 class WorkerClient(Protocol):
     """Calls to workers; safe to use from several threads.
 
-    Failures: verdict ``not_run`` when the worker has certainly not
-    carried out the call, with one of the codes ``FENCED`` (a higher
-    token was seen), ``STALE`` (a run as high was stopped or ended),
-    ``EXPIRED`` (the deadline has passed), ``NO_ROOM``, ``TICKET``,
-    ``REPLACED`` (another life answers at the address; the life that was
-    meant has ended for good), ``UNHEALTHY``, ``INVALID`` or
-    ``UNAVAILABLE`` (no connection; proves nothing of the worker's life);
-    ``may_have_run`` with ``TIMEOUT`` otherwise. ``clock_ms`` of a refusal
-    is not needed.
+    A failure has the verdict ``not_run`` when the worker has certainly not
+    carried out the call. Its code is then one of
+
+    - ``FENCED``: the worker has seen a higher fencing token;
+    - ``STALE``: a run of the task with this or a higher number was stopped
+      or has ended;
+    - ``EXPIRED``: the lease deadline has passed;
+    - ``NO_ROOM``: the task does not fit the worker's free capacity;
+    - ``TICKET``: the worker does not accept the ticket;
+    - ``REPLACED``: another incarnation of the worker answers at the address;
+      the incarnation that was meant has ended for good;
+    - ``UNHEALTHY`` or ``INVALID``;
+    - ``UNAVAILABLE``: no connection, which does not prove that the worker
+      has ended.
+
+    Otherwise the verdict is ``may_have_run``, with the code ``TIMEOUT``. The
+    worker's clock in a refusal is not used.
     """
 
     def start(
         self, worker: WorkerInfo, order: StartOrder, timeout_ms: int
     ) -> Result[int, Failure]:
-        """Start a run and return the worker's clock."""
+        """Start a run; return the worker's clock in ms."""
 
     def stop(
         self, worker: WorkerInfo, order: StopOrder, timeout_ms: int
     ) -> Result[int, Failure]:
-        """Stop a run and return the worker's clock."""
+        """Stop a run; return the worker's clock in ms."""
 
     def renew(
         self,
@@ -55,12 +63,15 @@
         wait_ms: int,
         timeout_ms: int,
     ) -> Result[WorkerReport, Failure]:
-        """Extend the worker's lease and see what runs and has ended.
-
-        :param deadline_ms: new end on the worker's clock; None to look
-            only.
-        :param acknowledged_sequence: highest end that the worker may forget.
-        :param wait_ms: how long the answer may wait for a new end.
+        """Extend the worker's lease and return its active and ended runs.
+
+        :param deadline_ms: new end of the lease on the worker's clock; None
+            to get the report without extending the lease.
+        :param acknowledged_sequence: the worker may drop ended runs up to
+            this sequence number.
+        :param wait_ms: how long the worker may hold back its answer until
+            another run ends (long polling).
+        :param timeout_ms: how long to wait for the answer after that.
         """
 
     def throttle(
@@ -70,28 +81,42 @@
         percent: int,
         timeout_ms: int,
     ) -> Result[int, Failure]:
-        """Let a run work at a share of its speed."""
+        """Slow a run down to a share of its speed.
+
+        :param percent: share of the full speed, in percent.
+        :return: the worker's clock in ms, or the failure.
+        """
 
 
 class Advisor(Protocol):
-    """Service that permits steps on workers; one call at a time."""
+    """Service that decides which workers may run a step.
+
+    It takes one call at a time from an instance.
+    """
 
     def permits(
         self, step: StepKey, worker_ids: Sequence[str], timeout_ms: int
     ) -> Result[tuple[Permit, ...], Failure]:
-        """Return the permits among the given workers (at most 100)."""
+        """Return permits for those of the workers that may run the step.
+
+        :param worker_ids: at most 100 workers.
+        """
 
 
 class Directory(Protocol):
-    """The platform's newest configuration and list of workers.
+    """Reader of the platform's configuration and list of workers.
 
-    A failure leaves what was known.
+    After a failure, callers keep what was read before.
     """
 
     def workers(self) -> Result[Mapping[str, WorkerInfo], Failure]:
-        """Return every listed worker by id."""
+        """Return every listed worker, by worker id."""
 
     def configuration(
         self, wait_ms: int
     ) -> Result[Configuration | None, Failure]:
-        """Return a newer configuration, or None after waiting for one."""
+        """Return a configuration newer than the last one returned.
+
+        :param wait_ms: how long to wait for one.
+        :return: the configuration, or None if none came in this time.
+        """
--- a/src/magnoliapitch/workload/configuration.py
+++ b/src/magnoliapitch/workload/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: queues, services and limits."""
+"""Configuration that operators define: queues, services and limits."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class AdvicePolicy(NamedTuple):
-    """Cost and validity of permissions to start steps of a queue.
+    """Duration of advisor calls for a queue and validity of permits.
 
-    :param decision_ms: time that the advisor takes for any call.
-    :param per_worker_ms: further time for each worker in the call.
-    :param valid_ms: how long a permit may be used.
+    :param decision_ms: fixed part of the duration of an advisor call.
+    :param per_worker_ms: additional duration for each worker in the call.
+    :param valid_ms: how long a permit is valid after its request was sent.
     """
 
     decision_ms: float
@@ -20,17 +20,20 @@
 
 
 class Queue(NamedTuple):
-    """A queue of jobs, as operators define it.
+    """A queue of jobs.
 
     :param host: value of the ``Host`` header that selects the queue.
     :param path_prefix: start of the paths that select the queue.
     :param service: name of the service whose workers run the tasks.
-    :param priority: 0 comes first and may preempt higher numbers.
-    :param attempts: runs of a task that may fail before its job fails.
-    :param stretch: multiple of the longest chain of work within which a
-        job should complete, besides ``target_ms``.
-    :param target_ms: time on top of the stretched chain, in milliseconds.
+    :param priority: 0 is the most urgent and may preempt higher numbers.
+    :param attempts: number of failed runs of a task with which its job fails.
+    :param stretch: factor of a job's objective, the time within which it
+        should complete: its critical path times ``stretch``, plus
+        ``target_ms``.
+    :param target_ms: fixed part of that objective, in milliseconds.
     :param timeout_ms: longest time to answer a caller.
+    :param advice: cost of the permits that the steps of the queue need;
+        None if they need none.
     """
 
     name: str
@@ -46,12 +49,12 @@
 
 
 class Service(NamedTuple):
-    """A service: a pool of workers.
+    """A service, which is a pool of workers.
 
-    :param checks_capacity: whether its workers refuse what does not fit.
-    :param is_standby: whether its machines are off until moved elsewhere.
-    :param health_path: path that tells whether a worker believes itself
-        healthy.
+    :param checks_capacity: whether its workers refuse tasks that do not fit.
+    :param is_standby: whether its machines stay off until they are moved to
+        another service.
+    :param health_path: HTTP path of a worker's own health check.
     :param max_connections: connections that each of its workers accepts.
     """
 
@@ -63,7 +66,7 @@
 
 
 class RequestLimits(NamedTuple):
-    """What callers may send at most."""
+    """Size and time limits for callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 262_144
@@ -72,7 +75,7 @@
 
 
 class Configuration(NamedTuple):
-    """One accepted version of the configuration."""
+    """A version of the configuration that passed validation."""
 
     version: int
     queues_by_name: Mapping[str, Queue]
@@ -80,7 +83,7 @@
     limits: RequestLimits = RequestLimits()
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path."""
+        """Return the queue of a host whose prefix of a path is the longest."""
         found: Queue | None = None
         for queue in self.queues_by_name.values():
             if queue.host != host or not path.startswith(queue.path_prefix):
--- a/src/magnoliapitch/workload/job.py
+++ b/src/magnoliapitch/workload/job.py
@@ -1,4 +1,4 @@
-"""What callers submit: jobs of steps of tasks."""
+"""Jobs as callers submit them: jobs have steps, steps have tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,12 @@
 
 
 class TaskKey(NamedTuple):
-    """One task; its runs are numbered from 1."""
+    """Identity of a task. Its runs are numbered from 1.
+
+    :param occurrence: index of the occurrence of a recurring job.
+    :param step: index of the step in its job.
+    :param position: index of the task in its step.
+    """
 
     job_id: str
     occurrence: int
@@ -18,44 +23,49 @@
 
     @property
     def step_key(self) -> StepKey:
-        """Return the step that the task belongs to."""
+        """Return the key of the step that the task belongs to."""
         return StepKey(self.job_id, self.occurrence, self.step)
 
 
 class StepKey(NamedTuple):
-    """One step of one occurrence of a job."""
+    """Identity of a step in one occurrence of a job."""
 
     job_id: str
     occurrence: int
     step: int
 
     def task(self, position: int) -> TaskKey:
-        """Return one of the step's tasks."""
+        """Return the key of one of the step's tasks."""
         return TaskKey(self.job_id, self.occurrence, self.step, position)
 
 
 class StepSpec(NamedTuple):
-    """Tasks that are alike.
+    """A step of a job: a number of tasks with the same requirements.
 
     :param task_count: number of tasks.
-    :param resources: need of each task.
-    :param estimate_ms: rough duration of a task; 0 if none was given.
-    :param depends_on: numbers of earlier steps that must be done first.
-    :param saves_progress: tasks save checkpoints while they run.
-    :param is_gang: tasks run only together and end together.
-    :param same_rack: tasks are slower when spread over several racks.
-    :param label: label that a worker must have, or empty.
-    :param data_rack: rack with the data, elsewhere tasks are slower.
-    :param max_per_worker: tasks of the step on one worker; 0: no limit.
-    :param is_speculative: copies may run in parallel, the first counts.
-    :param is_long_running: tasks run until the job is cancelled.
-    :param image: name of what runs; tasks of an image behave alike.
-    :param tail_target_ms: response time that long-running tasks must keep
-        for their own users; 0 if none.
-    :param uses_leftover: the tasks use only processor time that others
-        leave; their ``cpu_millis`` does not count against the capacity.
-    :param max_unavailable: long-running tasks that may be down at once
-        through actions of this system; None if nothing is promised.
+    :param resources: capacity that each task needs.
+    :param estimate_ms: declared duration of a task; 0 if none was given.
+    :param depends_on: indexes of earlier steps that must be done first.
+    :param saves_progress: whether tasks save checkpoints while they run.
+    :param is_gang: whether the tasks start and end only together.
+    :param same_rack: whether the tasks are slower when spread over several
+        racks.
+    :param label: label that a worker must have; empty for any worker.
+    :param data_rack: rack that holds the data; tasks are slower elsewhere.
+        Empty if it does not matter.
+    :param max_per_worker: most tasks of the step on one worker; 0 for no
+        limit.
+    :param is_speculative: whether copies of a task may run in parallel; the
+        first that is done counts.
+    :param is_long_running: whether tasks run until the job is cancelled.
+    :param image: name of the program; tasks of one image behave alike.
+    :param tail_target_ms: tail latency that long-running tasks must keep
+        for their own users; 0 if there is no target.
+    :param uses_leftover: whether the tasks use only CPU time that other
+        tasks leave; their ``cpu_millis`` does not count against the
+        capacity.
+    :param max_unavailable: most long-running tasks that this system may
+        take down at once; None if there is no limit.
     """
 
     task_count: int
@@ -79,14 +89,15 @@
 class JobSpec(NamedTuple):
     """A submitted job.
 
-    :param job_id: the caller's id, unique over all queues.
+    :param job_id: id that the caller chose; unique over all queues.
     :param queue: name of the queue.
-    :param payload: text that every task receives.
-    :param run_count: occurrences; 0 for a job that runs once, at once.
+    :param payload: text that is passed to every task.
+    :param run_count: number of occurrences; 0 for a job that runs once and
+        starts immediately.
     :param start_at_ms: wall-clock time of occurrence 0, ms since 1970.
-    :param interval_ms: time between occurrences.
+    :param interval_ms: time between the starts of occurrences.
     :param submitted_ms: wall-clock time of the submission, ms since 1970,
-        by the clock of the instance that took it.
+        by the clock of the instance that accepted it.
     """
 
     job_id: str
@@ -100,11 +111,11 @@
 
     @property
     def occurrences(self) -> int:
-        """Return how often the steps run."""
+        """Return the number of occurrences, at least 1."""
         return max(1, self.run_count)
 
     def due_ms(self, occurrence: int) -> int:
-        """Return when an occurrence may start, ms since 1970."""
+        """Return the earliest start of an occurrence, ms since 1970."""
         if self.run_count == 0:
             return self.submitted_ms
         return self.start_at_ms + occurrence * self.interval_ms
--- a/src/magnoliapitch/workload/progress.py
+++ b/src/magnoliapitch/workload/progress.py
@@ -1,4 +1,4 @@
-"""How far a job is, as it is stored and shared."""
+"""Progress of jobs and tasks, as it is stored."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JobOutcome(StrEnum):
-    """Final state of a job; ``OPEN`` until there is one."""
+    """Final state of a job; ``OPEN`` while it has not ended."""
 
     OPEN = "open"
     COMPLETED = "completed"
@@ -19,9 +19,10 @@
 
 
 class Placement(NamedTuple):
-    """A run that has been ordered and whose end is not known.
+    """A run that was ordered and whose end is not known.
 
-    :param worker_id: where it was ordered.
+    :param run: number of the run.
+    :param worker_id: worker that was ordered to start it.
     """
 
     run: int
@@ -29,12 +30,12 @@
 
 
 class TaskProgress(NamedTuple):
-    """How far a task is.
+    """Progress of a task.
 
-    :param runs: highest run number ordered so far.
-    :param failures: runs that ended ``failed``.
-    :param checkpoint: newest saved progress, or empty.
-    :param placements: runs that may be going on.
+    :param runs: highest run number ordered so far; 0 before the first.
+    :param failures: number of runs that ended as ``failed``.
+    :param checkpoint: newest saved checkpoint; empty if there is none.
+    :param placements: runs that may still be active.
     """
 
     runs: int = 0
@@ -45,11 +46,11 @@
 
 
 class JobProgress(NamedTuple):
-    """How far a job is.
+    """Progress of a job.
 
-    :param tasks_by_key: tasks that have been ordered at least once; the
-        others are untouched.
-    :param has_begun: a worker has surely begun one of the tasks.
+    :param tasks_by_key: tasks with at least one ordered run; the others have
+        no progress yet.
+    :param has_begun: whether a worker has certainly begun one of the tasks.
     """
 
     job_id: str
--- a/src/magnoliapitch/workload/run.py
+++ b/src/magnoliapitch/workload/run.py
@@ -1,4 +1,7 @@
-"""Runs of tasks on workers: orders, reports and permits."""
+"""Runs of tasks on workers: orders, reports and permits.
+
+A run is one attempt of a task on a worker.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class EndKind(StrEnum):
-    """How a run ended."""
+    """Way in which a run ended."""
 
     DONE = "done"
     FAILED = "failed"
@@ -20,14 +23,15 @@
 
 
 class RunningTask(NamedTuple):
-    """A run that a worker has listed as going on.
-
-    :param checkpoint: newest saved progress, or empty.
-    :param percent: progress from 0 to 100; of a long-running task 100
-        once it is at work.
-    :param load: rough figure of the last half second: the tail latency
-        in milliseconds of a task with a tail target, the used
-        ``cpu_millis`` of any other; 0 if not told.
+    """A run that a worker reports as active.
+
+    :param run: number of the run.
+    :param checkpoint: newest saved checkpoint; empty if there is none.
+    :param percent: progress from 0 to 100; a long-running task is at 100
+        once it is working.
+    :param load: approximate load over the last half second: the tail
+        latency in milliseconds of a task with a tail target, the used
+        ``cpu_millis`` of any other; 0 if it is not reported.
     """
 
     task: TaskKey
@@ -40,8 +44,10 @@
 class EndedRun(NamedTuple):
     """A run that has ended and whose end is not acknowledged yet.
 
-    :param sequence: position in the worker's list of ends, from 1.
-    :param checkpoint: newest saved progress, or empty.
+    :param sequence: sequence number among the ended runs of the worker,
+        from 1.
+    :param run: number of the run.
+    :param checkpoint: newest saved checkpoint; empty if there is none.
     """
 
     sequence: int
@@ -52,13 +58,13 @@
 
 
 class StartOrder(NamedTuple):
-    """An order to run a task.
+    """Order to start a run of a task.
 
     :param run: number of the run; all members of a gang share it.
-    :param token: fencing token of the instance that decides.
-    :param deadline_ms: end of the lease on the worker's own clock.
-    :param checkpoint: progress to resume from, or empty.
-    :param ticket: the advisor's permission, or empty.
+    :param token: fencing token of the leader.
+    :param deadline_ms: end of the worker's lease on its own clock.
+    :param checkpoint: checkpoint to resume from; empty to start afresh.
+    :param ticket: ticket of the advisor's permit; empty if none is needed.
     """
 
     task: TaskKey
@@ -71,7 +77,7 @@
 
 
 class StopOrder(NamedTuple):
-    """An order to stop a run."""
+    """Order to stop a run."""
 
     task: TaskKey
     run: int
@@ -79,9 +85,10 @@
 
 
 class WorkerReport(NamedTuple):
-    """What a worker answers when its lease is renewed.
+    """Answer of a worker to the renewal of its lease.
 
-    :param clock_ms: the worker's own steady clock.
+    :param clock_ms: the worker's own monotonic clock.
+    :param ended: ended runs that are not acknowledged yet.
     """
 
     clock_ms: int
@@ -90,9 +97,9 @@
 
 
 class Permit(NamedTuple):
-    """Permission to run a step on a worker.
+    """Permission of the advisor to run a step on a worker.
 
-    :param ticket: what a start must carry.
+    :param ticket: text that a start order must carry.
     """
 
     worker_id: str
--- a/src/magnoliapitch/workload/worker.py
+++ b/src/magnoliapitch/workload/worker.py
@@ -1,4 +1,4 @@
-"""Workers as the platform lists them."""
+"""Entries of the platform's list of workers."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 
 
 class WorkerInfo(NamedTuple):
-    """One life of a worker.
+    """One incarnation of a worker.
 
-    :param worker_id: unique for each life; a restart brings a new id.
+    :param worker_id: unique for each incarnation; a restarted worker gets a
+        new id.
+    :param service: name of the service whose tasks it runs.
     :param address: ``IP:PORT``.
     :param rack: rack of the machine, or empty if unknown.
-    :param labels: kind, rack and whatever else jobs may require.
-    :param is_draining: it leaves soon and takes no new work.
-    :param drain_remaining_ms: least time until it leaves, when listed.
-    :param is_listed: False once the entry has vanished from the list.
+    :param labels: kind, rack and other labels that jobs may require.
+    :param is_draining: whether it leaves soon and takes no new runs.
+    :param drain_remaining_ms: shortest time until it leaves, counted from
+        when the list was read.
+    :param is_listed: False once the worker is no longer in the list.
     """
 
     worker_id: str
--- a/tests/control/load.py
+++ b/tests/control/load.py
@@ -1,4 +1,4 @@
-"""Loads in virtual time: gangs, batches and urgent work together."""
+"""Random load in virtual time: gangs, batches and urgent jobs together."""
 
 from __future__ import annotations
 
@@ -17,20 +17,24 @@
 from tests.control.simulation import workers
 
 
-class Kind(NamedTuple):
-    """One kind of job.
+class JobKind(NamedTuple):
+    """Parameters of one kind of job.
 
-    :param per_s: submissions a second.
-    :param width: mean number of tasks.
+    :param submissions_per_s: mean submissions per second.
+    :param mean_task_count: mean number of tasks.
     :param work_ms: mean duration of a task.
-    :param worth: what a mean job earns when it keeps its objective.
-    :param gang_share: share of the jobs whose tasks run together.
+    :param size: mean resources of a task.
+    :param worth: value of a job that completes within its objective.
+    :param stretch: factor of the objective, as in ``Queue``.
+    :param target_ms: fixed part of the objective, as in ``Queue``.
+    :param gang_share: share of the jobs that are gangs.
+    :param permitted_share: share of the workers that the advisor permits.
     """
 
     name: str
     priority: int
-    per_s: float
-    width: float
+    submissions_per_s: float
+    mean_task_count: float
     work_ms: float
     size: Resources
     worth: float
@@ -38,11 +42,11 @@
     target_ms: float
     gang_share: float
     advice: AdvicePolicy
-    good_share: float = 0.5
+    permitted_share: float = 0.5
 
 
-KINDS = (
-    Kind(
+JOB_KINDS = (
+    JobKind(
         "plan",
         1,
         0.72,
@@ -55,7 +59,7 @@
         1.0,
         AdvicePolicy(390, 5.5, 2_500),
     ),
-    Kind(
+    JobKind(
         "batch",
         2,
         2.2,
@@ -68,7 +72,7 @@
         0.0,
         AdvicePolicy(62, 0.9, 2_500),
     ),
-    Kind(
+    JobKind(
         "urgent",
         0,
         24,
@@ -84,8 +88,8 @@
 )
 
 
-GROWN_KINDS = (
-    Kind(
+LARGE_CLUSTER_JOB_KINDS = (
+    JobKind(
         "plan",
         1,
         2.38,
@@ -99,7 +103,7 @@
         AdvicePolicy(559, 8.06, 2_500),
         0.35,
     ),
-    Kind(
+    JobKind(
         "batch",
         2,
         3.94,
@@ -113,7 +117,7 @@
         AdvicePolicy(156, 2.34, 2_500),
         0.45,
     ),
-    Kind(
+    JobKind(
         "urgent",
         0,
         68.8,
@@ -130,26 +134,30 @@
 )
 
 
-class Load:
-    """Submits jobs to a scene and counts what they earn."""
+class LoadGenerator:
+    """Submits random jobs to a simulation and sums the value they earn.
+
+    :param scale: factor of the submission rate of every kind.
+    :ivar rate_factor_by_kind: further factors by kind, 1 by default.
+    """
 
     def __init__(
         self,
         worker_count: int,
         scale: float,
         seed: int = 1,
-        lanes: int = 6,
-        kinds: tuple[Kind, ...] = KINDS,
+        advisor_call_limit: int = 6,
+        kinds: tuple[JobKind, ...] = JOB_KINDS,
     ) -> None:
         self._kinds = kinds
         self._random = random.Random(seed)
-        self._true_ms: dict[TaskKey, float] = {}
-        self._kind_by_job: dict[str, Kind] = {}
-        self._goal_ms: dict[str, float] = {}
+        self._actual_duration_ms_by_task: dict[TaskKey, float] = {}
+        self._kind_by_job: dict[str, JobKind] = {}
+        self._objective_ms_by_job: dict[str, float] = {}
         self._number = 0
         self._scale = scale
-        self.factor_by_kind: dict[str, float] = {}
-        self.scene = Simulation(
+        self.rate_factor_by_kind: dict[str, float] = {}
+        self.simulation = Simulation(
             [
                 queue(kind.name, kind.priority, kind.advice)._replace(
                     stretch=kind.stretch, target_ms=kind.target_ms
@@ -157,45 +165,51 @@
                 for kind in kinds
             ],
             workers(worker_count),
-            lanes,
+            advisor_call_limit,
         )
-        self.scene.true_ms = self._true_ms.__getitem__
-        self.scene.good_share_by_queue = {
-            kind.name: kind.good_share for kind in kinds
+        self.simulation.actual_duration_ms = self._actual_duration_ms_by_task.__getitem__
+        self.simulation.permitted_share_by_queue = {
+            kind.name: kind.permitted_share for kind in kinds
         }
 
     def run(self, duration_ms: int) -> None:
         """Submit jobs at random times for a while."""
         for kind in self._kinds:
-            factor = self.factor_by_kind.get(kind.name, 1.0)
-            rate = kind.per_s * self._scale * factor / 1_000
+            factor = self.rate_factor_by_kind.get(kind.name, 1.0)
+            rate = kind.submissions_per_s * self._scale * factor / 1_000
             at_ms = self._random.expovariate(rate)
             while at_ms < duration_ms:
-                self.scene.at(at_ms, lambda kind=kind: self._submit(kind))  # type: ignore[misc]
+                self.simulation.schedule(at_ms, lambda kind=kind: self._submit(kind))  # type: ignore[misc]
                 at_ms += self._random.expovariate(rate)
-        self.scene.run(duration_ms)
+        self.simulation.run(duration_ms)
+
+    def earned_share(self, kind: str | None = None) -> float:
+        """Return the earned share of the greatest value that could be earned.
+
+        A job within its objective earns its full value, one within three
+        times its objective a fifth of it, a later one nothing.
 
-    def earned(self, kind: str | None = None) -> float:
-        """Return the share that was earned of what could be."""
-        owed = got = 0.0
-        for job_id, its_kind in self._kind_by_job.items():
-            if kind not in (None, its_kind.name):
+        :param kind: count only jobs of this kind.
+        """
+        possible_worth = earned_worth = 0.0
+        for job_id, job_kind in self._kind_by_job.items():
+            if kind not in (None, job_kind.name):
                 continue
-            owed += its_kind.worth
-            done = self.scene.finished.get(job_id)
+            possible_worth += job_kind.worth
+            done = self.simulation.finished.get(job_id)
             if done is None or done.outcome is not JobState.COMPLETED:
                 continue
-            goal_ms = self._goal_ms[job_id]
-            if done.after_ms <= goal_ms:
-                got += its_kind.worth
-            elif done.after_ms <= 3 * goal_ms:
-                got += 0.2 * its_kind.worth
-        return got / max(owed, 1e-9)
-
-    def _submit(self, kind: Kind) -> None:
+            objective_ms = self._objective_ms_by_job[job_id]
+            if done.after_ms <= objective_ms:
+                earned_worth += job_kind.worth
+            elif done.after_ms <= 3 * objective_ms:
+                earned_worth += 0.2 * job_kind.worth
+        return earned_worth / max(possible_worth, 1e-9)
+
+    def _submit(self, kind: JobKind) -> None:
         self._number += 1
         name = f"{kind.name}{self._number}"
-        width = max(1, round(self._skewed(kind.width, 0.6)))
+        task_count = max(1, round(self._skewed(kind.mean_task_count, 0.6)))
         size = Resources(
             int(min(15_000, self._skewed(kind.size.cpu_millis, 0.4))),
             int(min(52_000, self._skewed(kind.size.memory_mb, 0.5))),
@@ -203,20 +217,20 @@
         work_ms = self._skewed(kind.work_ms, 0.5)
         is_gang = self._random.random() < kind.gang_share
         longest_ms = 0.0
-        for position in range(width):
-            true_ms = work_ms * self._random.uniform(0.8, 1.25)
+        for position in range(task_count):
+            actual_duration_ms = work_ms * self._random.uniform(0.8, 1.25)
             if is_gang and position:
-                true_ms = longest_ms
-            self._true_ms[TaskKey(name, 0, 0, position)] = true_ms
-            longest_ms = max(longest_ms, true_ms)
+                actual_duration_ms = longest_ms
+            self._actual_duration_ms_by_task[TaskKey(name, 0, 0, position)] = actual_duration_ms
+            longest_ms = max(longest_ms, actual_duration_ms)
         estimate_ms = int(self._skewed(work_ms, 0.9))
-        step = StepSpec(width, size, estimate_ms, is_gang=is_gang)
+        step = StepSpec(task_count, size, estimate_ms, is_gang=is_gang)
         self._kind_by_job[name] = kind
-        self._goal_ms[name] = kind.target_ms + kind.stretch * longest_ms
-        self.scene.submit(JobSpec(name, kind.name, "text", (step,)))
+        self._objective_ms_by_job[name] = kind.target_ms + kind.stretch * longest_ms
+        self.simulation.submit(JobSpec(name, kind.name, "text", (step,)))
 
     def _skewed(self, mean: float, spread: float) -> float:
         return mean * self._random.lognormvariate(-spread * spread / 2, spread)
 
 
-__all__ = ["GROWN_KINDS", "KINDS", "Kind", "Load"]
+__all__ = ["LARGE_CLUSTER_JOB_KINDS", "JOB_KINDS", "JobKind", "LoadGenerator"]
--- a/tests/control/simulated_worker.py
+++ b/tests/control/simulated_worker.py
@@ -1,4 +1,4 @@
-"""A worker in virtual time, as strict as the published protocol."""
+"""A worker in virtual time that follows the published protocol strictly."""
 
 from __future__ import annotations
 
@@ -35,38 +35,38 @@
         self.order = order
         self.step = step
         self.started_ms = now_ms
-        self.begun_ms: int | None = None
+        self.working_since_ms: int | None = None
         self.duration_ms = 0.0
 
 
 class SimulatedWorker:
-    """Runs tasks under a lease; its clock is the scene's."""
+    """Runs tasks under a lease; its clock is the simulation's."""
 
-    def __init__(self, info: WorkerInfo, scene: Simulation) -> None:
+    def __init__(self, info: WorkerInfo, simulation: Simulation) -> None:
         self.info = info
         self.is_gone = False
         self.running: dict[TaskKey, _Run] = {}
         self.ended: list[EndedRun] = []
-        self.waiters: set[Callable[[], None]] = set()
-        self._scene = scene
+        self.end_listeners: set[Callable[[], None]] = set()
+        self._simulation = simulation
         self._token = 0
         self._deadline_ms = 0
-        self._number = 0
-        self._highest_by_task: dict[TaskKey, int] = {}
+        self._last_end_sequence = 0
+        self._highest_run_by_task: dict[TaskKey, int] = {}
 
-    def hold(
-        self, token: int, deadline_ms: int | None, acknowledged: int
+    def renew_lease(
+        self, token: int, deadline_ms: int | None, acknowledged_sequence: int
     ) -> None:
-        """Extend the lease and forget acknowledged ends."""
+        """Extend the lease and drop the ended runs that are acknowledged."""
         self._token = max(self._token, token)
         if deadline_ms is not None and token >= self._token:
             self._extend(deadline_ms)
-        self.ended = [end for end in self.ended if end.sequence > acknowledged]
+        self.ended = [end for end in self.ended if end.sequence > acknowledged_sequence]
 
     def report(self) -> WorkerReport:
-        """Return what runs and has ended."""
+        """Return the report of active and ended runs."""
         return WorkerReport(
-            self._scene.now_ms,
+            self._simulation.now_ms,
             tuple(
                 RunningTask(key, run.order.run, "", self._percent(run))
                 for key, run in self.running.items()
@@ -75,8 +75,8 @@
         )
 
     def start(self, order: StartOrder) -> Result[int, Failure]:
-        """Carry out an order to start."""
-        now_ms = self._scene.now_ms
+        """Carry out a start order."""
+        now_ms = self._simulation.now_ms
         if order.token < self._token:
             return Err(not_run(FailureCode.FENCED, "token"))
         self._token = order.token
@@ -86,58 +86,58 @@
         known = self.running.get(order.task)
         if known is not None and known.order.run == order.run:
             return Ok(now_ms)
-        if order.run <= self._highest_by_task.get(order.task, 0):
+        if order.run <= self._highest_run_by_task.get(order.task, 0):
             return Err(not_run(FailureCode.STALE, "old"))
         if order.ticket and now_ms > int(order.ticket.split()[-1]):
-            self._scene.expired_tickets += 1
+            self._simulation.expired_ticket_count += 1
             return Err(not_run(FailureCode.TICKET, "ticket"))
         self._begin(order)
         return Ok(now_ms)
 
     def stop(self, order: StopOrder) -> Result[int, Failure]:
-        """Carry out an order to stop."""
+        """Carry out a stop order."""
         if order.token < self._token:
             return Err(not_run(FailureCode.FENCED, "token"))
         self._token = order.token
-        highest = self._highest_by_task.get(order.task, 0)
-        self._highest_by_task[order.task] = max(highest, order.run)
+        highest = self._highest_run_by_task.get(order.task, 0)
+        self._highest_run_by_task[order.task] = max(highest, order.run)
         run = self.running.get(order.task)
         if run is not None and run.order.run == order.run:
-            self._scene.at(100, lambda: self.end(run, EndKind.STOPPED))
-        return Ok(self._scene.now_ms)
+            self._simulation.schedule(100, lambda: self.end(run, EndKind.STOPPED))
+        return Ok(self._simulation.now_ms)
 
     def end(self, run: _Run, kind: EndKind) -> None:
-        """End a run if it still goes on, and its gang with it."""
+        """End a run if it is still active, with the members of its gang."""
         key = run.order.task
         if self.running.get(key) is not run:
             return
         del self.running[key]
-        self._number += 1
-        self._highest_by_task[key] = max(
-            run.order.run, self._highest_by_task.get(key, 0)
+        self._last_end_sequence += 1
+        self._highest_run_by_task[key] = max(
+            run.order.run, self._highest_run_by_task.get(key, 0)
         )
-        self.ended.append(EndedRun(self._number, key, run.order.run, kind))
-        for waiter in list(self.waiters):
-            waiter()
+        self.ended.append(EndedRun(self._last_end_sequence, key, run.order.run, kind))
+        for notify in list(self.end_listeners):
+            notify()
         if run.step.is_gang:
             other = kind if kind is EndKind.DONE else EndKind.MEMBER_ENDED
             for worker, member in self._members(run):
                 worker.end(member, other)
 
     def used(self) -> Resources:
-        """Return the room that is taken."""
+        """Return the resources that active runs use."""
         used = NO_RESOURCES
         for run in self.running.values():
             used = used.plus(run.step.resources)
         return used
 
     def _begin(self, order: StartOrder) -> None:
-        spec = self._scene.specs[order.task.job_id]
+        spec = self._simulation.specs[order.task.job_id]
         step = spec.steps[order.task.step]
-        run = _Run(order, step, self._scene.now_ms)
+        run = _Run(order, step, self._simulation.now_ms)
         self.running[order.task] = run
-        self._scene.starts[order.task] += 1
-        self._scene.check()
+        self._simulation.starts[order.task] += 1
+        self._simulation.check()
         members = [(self, run), *self._members(run)]
         if step.is_gang and len(members) < step.task_count:
             return
@@ -145,19 +145,19 @@
             worker.work(member)
 
     def work(self, run: _Run) -> None:
-        """Let a run work until it ends."""
-        scene, key = self._scene, run.order.task
-        run.begun_ms = scene.now_ms
-        run.duration_ms = scene.true_ms(key)
-        fails = scene.fails(key, self.info.worker_id)
-        kind = EndKind.FAILED if fails else EndKind.DONE
-        delay_ms = 200 if fails else run.duration_ms
-        scene.at(delay_ms, lambda: self.end(run, kind))
+        """Let a run work and schedule its end."""
+        simulation, key = self._simulation, run.order.task
+        run.working_since_ms = simulation.now_ms
+        run.duration_ms = simulation.actual_duration_ms(key)
+        run_fails = simulation.run_fails(key, self.info.worker_id)
+        kind = EndKind.FAILED if run_fails else EndKind.DONE
+        delay_ms = 200 if run_fails else run.duration_ms
+        simulation.schedule(delay_ms, lambda: self.end(run, kind))
 
     def _members(self, run: _Run) -> list[tuple[SimulatedWorker, _Run]]:
         return [
             (worker, member)
-            for worker in self._scene.workers.values()
+            for worker in self._simulation.workers.values()
             for key, member in list(worker.running.items())
             if key.step_key == run.order.task.step_key
             and key != run.order.task
@@ -166,18 +166,18 @@
 
     def _extend(self, deadline_ms: int) -> None:
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
-        self._scene.at(
-            self._deadline_ms - self._scene.now_ms, self._check_lease
+        self._simulation.schedule(
+            self._deadline_ms - self._simulation.now_ms, self._check_lease
         )
 
     def _check_lease(self) -> None:
-        if self._scene.now_ms < self._deadline_ms:
+        if self._simulation.now_ms < self._deadline_ms:
             return
         for run in list(self.running.values()):
             self.end(run, EndKind.LEASE_EXPIRED)
 
     def _percent(self, run: _Run) -> float:
-        if run.begun_ms is None or not run.duration_ms:
+        if run.working_since_ms is None or not run.duration_ms:
             return 0.0
-        share = (self._scene.now_ms - run.begun_ms) / run.duration_ms
+        share = (self._simulation.now_ms - run.working_since_ms) / run.duration_ms
         return min(99.0, 100.0 * share)
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -1,7 +1,7 @@
-"""A controller among simulated workers, store and advisor.
+"""A controller with simulated workers, store and advisor.
 
-Time is virtual and every delay is fixed, so that a run repeats. The scene
-checks what must always hold while it runs.
+Time is virtual and every delay is fixed, so that each run is reproducible.
+Invariants are checked while the simulation runs.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from magnoliapitch.workload.run import EndKind
 from magnoliapitch.workload.run import StartOrder
 from magnoliapitch.workload.worker import WorkerInfo
-from tests.control.simulated_effects import COMMIT_MS
+from tests.control.simulated_effects import COMMIT_DURATION_MS
 from tests.control.simulated_effects import SimulatedEffects
 from tests.control.simulated_worker import SimulatedWorker
 
@@ -49,12 +49,15 @@
 
 ROUND_MS = 20
 SERVICE = "app"
-LARGE = Resources(32_000, 131_072)
+LARGE_CAPACITY = Resources(32_000, 131_072)
 TIMING = ControlTiming(lease_ms=6_000)
 
 
 class Finished(NamedTuple):
-    """A job that was shown as ended."""
+    """A job whose final state was published.
+
+    :param after_ms: time from the submission to the final state.
+    """
 
     outcome: JobState
     after_ms: int
@@ -63,30 +66,35 @@
 class Simulation:
     """Runs a controller in virtual time.
 
-    :ivar violations: what must never happen and did.
-    :ivar duration_estimator: true duration of each task; by default 1 s.
+    :ivar violations: descriptions of violated invariants.
+    :ivar actual_duration_ms: returns the actual duration of a task; by
+        default 1 s.
+    :ivar run_fails: returns whether runs of a task fail on a worker.
+    :ivar start_answer_is_lost: returns whether the answer to a start order
+        is lost although the order is carried out.
+    :ivar advisor_call_limit: most advisor calls at the same time.
     """
 
     def __init__(
         self,
         queues: Sequence[Queue],
         workers: Sequence[WorkerInfo],
-        lanes: int = 6,
+        advisor_call_limit: int = 6,
     ) -> None:
         self.now_ms = 0
-        self.lanes = lanes
+        self.advisor_call_limit = advisor_call_limit
         self.violations: list[str] = []
         self.finished: dict[str, Finished] = {}
-        self.true_ms: Callable[[TaskKey], float] = lambda _: 1_000.0
-        self.fails: Callable[[TaskKey, str], bool] = lambda *_: False
-        self.good_share = 0.5
-        self.good_share_by_queue: dict[str, float] = {}
-        self.lose_start: Callable[[StartOrder], bool] = lambda _: False
-        self.cut: set[str] = set()
-        self.store_is_away = False
-        self.commits = 0
-        self.expired_tickets = 0
-        self.asked = 0
+        self.actual_duration_ms: Callable[[TaskKey], float] = lambda _: 1_000.0
+        self.run_fails: Callable[[TaskKey, str], bool] = lambda *_: False
+        self.permitted_share = 0.5
+        self.permitted_share_by_queue: dict[str, float] = {}
+        self.start_answer_is_lost: Callable[[StartOrder], bool] = lambda _: False
+        self.unreachable_worker_ids: set[str] = set()
+        self.store_is_unavailable = False
+        self.commit_count = 0
+        self.expired_ticket_count = 0
+        self.advisor_call_count = 0
         self.starts: Counter[TaskKey] = Counter()
         self.configuration = Configuration(
             1,
@@ -102,20 +110,20 @@
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._sequence = 0
         self._submitted_ms: dict[str, int] = {}
-        self._busy_lanes = 0
+        self._advisor_calls_in_flight_count = 0
         self._epoch = 0
         self.controller = self.take_over()
         self._list_workers()
         self._next_round()
 
-    def at(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Do something after a delay."""
+    def schedule(self, delay_ms: float, action: Callable[[], None]) -> None:
+        """Call an action after a delay."""
         self._sequence += 1
         due_ms = self.now_ms + max(0, int(delay_ms))
         heapq.heappush(self._events, (due_ms, self._sequence, action))
 
     def run(self, duration_ms: int) -> None:
-        """Let time pass."""
+        """Advance the virtual time and call the actions that fall due."""
         end_ms = self.now_ms + duration_ms
         while self._events and self._events[0][0] <= end_ms:
             self.now_ms, _, action = heapq.heappop(self._events)
@@ -123,7 +131,7 @@
         self.now_ms = end_ms
 
     def take_over(self) -> Controller:
-        """Replace the controller by one that knows only what is stored."""
+        """Replace the controller by a new leader that knows only the store."""
         self._epoch += 1
         controller = Controller(
             LeaderRecord(self._epoch, f"entry-{self._epoch}"),
@@ -140,33 +148,33 @@
         return controller
 
     def valid_ms(self, step: StepKey) -> int:
-        """Return how long a permit for a step may be used."""
+        """Return how long a permit for a step is valid."""
         spec = self.specs[step.job_id]
         advice = self.configuration.queues_by_name[spec.queue].advice
         return advice.valid_ms if advice else 0
 
-    def good_share_of(self, step: StepKey) -> float:
-        """Return the share of the workers that may run a step."""
+    def permitted_share_of(self, step: StepKey) -> float:
+        """Return the share of the workers that the advisor permits."""
         queue_name = self.specs[step.job_id].queue
-        return self.good_share_by_queue.get(queue_name, self.good_share)
+        return self.permitted_share_by_queue.get(queue_name, self.permitted_share)
 
     def submit(self, job: JobSpec) -> None:
-        """Store a job and tell the controller."""
+        """Store a job and notify the controller."""
         self._submitted_ms[job.job_id] = self.now_ms
         self.specs[job.job_id] = job
         self._store(JOB_PREFIX + job.job_id, encode_job(job))
 
     def cancel(self, job_id: str) -> None:
-        """Store a cancellation and tell the controller."""
+        """Store a cancellation and notify the controller."""
         self._store(CANCEL_PREFIX + job_id, CANCELLED)
 
     def is_current(self, epoch: int) -> bool:
-        """Return whether a controller of an epoch may still store."""
+        """Return whether a controller of an epoch may still store records."""
         return epoch == self._epoch
 
     def record_stored(self) -> None:
-        """RenewalTiming which jobs have ended since the last commit."""
-        self.commits += 1
+        """Record the jobs that have ended since the last commit."""
+        self.commit_count += 1
         for job_id, submitted_ms in self._submitted_ms.items():
             shown = self.states.get(job_id)
             if job_id in self.finished or shown is None:
@@ -175,23 +183,23 @@
                 after_ms = self.now_ms - submitted_ms
                 self.finished[job_id] = Finished(shown.state, after_ms)
 
-    def reserve_lane(self) -> bool:
-        """Take a way to the advisor, if one is free."""
+    def begin_advisor_call(self) -> bool:
+        """Begin an advisor call if the limit allows another."""
         if not self.available_advisor_calls():
             return False
-        self._busy_lanes += 1
+        self._advisor_calls_in_flight_count += 1
         return True
 
     def available_advisor_calls(self) -> int:
-        """Return how many ways to the advisor are free."""
-        return self.lanes - self._busy_lanes
+        """Return how many more advisor calls can be started now."""
+        return self.advisor_call_limit - self._advisor_calls_in_flight_count
 
-    def free_lane(self) -> None:
-        """Give a way to the advisor back."""
-        self._busy_lanes -= 1
+    def end_advisor_call(self) -> None:
+        """End an advisor call."""
+        self._advisor_calls_in_flight_count -= 1
 
     def check(self) -> None:
-        """Check what must hold at any moment."""
+        """Check that no task runs twice and no worker is over its capacity."""
         running = Counter(
             key for worker in self.workers.values() for key in worker.running
         )
@@ -200,13 +208,13 @@
                 self.violations.append(f"{key} runs {count} times")
         for worker in self.workers.values():
             if not worker.used().fits(worker.info.capacity):
-                self.violations.append(f"{worker.info.worker_id} is overfull")
+                self.violations.append(f"{worker.info.worker_id} runs more than its capacity")
 
     def _store(self, key: str, value: bytes) -> None:
         changed = self.replica.apply({key: value}, [key])
         ids = frozenset(changed)
-        self.at(
-            COMMIT_MS,
+        self.schedule(
+            COMMIT_DURATION_MS,
             lambda: self.controller.handle_jobs_changed(ids, self.now_ms),
         )
 
@@ -214,20 +222,20 @@
         info_by_id = {
             worker_id: worker.info
             for worker_id, worker in self.workers.items()
-            if worker_id not in self.cut and not worker.is_gone
+            if worker_id not in self.unreachable_worker_ids and not worker.is_gone
         }
         self.controller.handle_worker_list(WorkersListed(info_by_id))
-        self.at(500, self._list_workers)
+        self.schedule(500, self._list_workers)
 
     def _next_round(self) -> None:
         if not self.controller.is_over:
-            self.controller.step(self.now_ms, self.now_ms)
+            self.controller.run_round(self.now_ms, self.now_ms)
         self.check()
-        self.at(ROUND_MS, self._next_round)
+        self.schedule(ROUND_MS, self._next_round)
 
 
-def workers(count: int, capacity: Resources = LARGE) -> list[WorkerInfo]:
-    """Return workers of three racks."""
+def workers(count: int, capacity: Resources = LARGE_CAPACITY) -> list[WorkerInfo]:
+    """Return workers in three zones and racks."""
     return [
         WorkerInfo(
             f"w{number:03d}",
@@ -245,7 +253,7 @@
 def queue(
     name: str, priority: int = 0, advice: AdvicePolicy | None = None
 ) -> Queue:
-    """Return a queue of the scene's service."""
+    """Return a queue of the simulation's service."""
     return Queue(
         name,
         "host",
--- a/tests/control/test_controller.py
+++ b/tests/control/test_controller.py
@@ -29,218 +29,212 @@
     return JobSpec(name, "q", "text", steps)
 
 
-def scene(count: int = 3) -> Simulation:
+def make_simulation(count: int = 3) -> Simulation:
     return Simulation([queue("q")], workers(count))
 
 
 def test_steps_run_in_the_order_of_their_dependencies() -> None:
-    world = scene()
-    world.submit(
+    simulation = make_simulation()
+    simulation.submit(
         job("a", StepSpec(3, SIZE), StepSpec(2, SIZE, depends_on=(0,)))
     )
-    world.run(900)
-    assert set(world.starts) == {TaskKey("a", 0, 0, n) for n in range(3)}
-    world.run(3_000)
-    assert world.finished["a"].outcome is JobState.COMPLETED
-    assert set(world.starts.values()) == {1}
+    simulation.run(900)
+    assert set(simulation.starts) == {TaskKey("a", 0, 0, n) for n in range(3)}
+    simulation.run(3_000)
+    assert simulation.finished["a"].outcome is JobState.COMPLETED
+    assert set(simulation.starts.values()) == {1}
 
 
-def test_a_gang_starts_whole_or_not_at_all() -> None:
-    world = scene(1)
+def test_a_gang_starts_as_a_whole_or_not_at_all() -> None:
+    simulation = make_simulation(1)
     big = Resources(9_000, 4_000)
-    world.submit(job("a", StepSpec(4, big, is_gang=True)))
-    world.submit(job("b", StepSpec(3, big, is_gang=True)))
-    world.run(3_000)
-    assert "a" not in world.finished
-    assert world.finished["b"].outcome is JobState.COMPLETED
-    assert all(key.job_id == "b" for key in world.starts)
-
-
-def test_a_failed_task_runs_again_until_its_attempts_are_used() -> None:
-    world = scene()
-    world.fails = lambda *_: True
-    world.submit(job("a", StepSpec(1, SIZE)))
-    world.run(10_000)
-    assert world.finished["a"].outcome is JobState.FAILED
-    assert world.starts[TaskKey("a", 0, 0, 0)] == 3
-
-
-def test_a_lost_answer_to_a_start_never_makes_a_second_run() -> None:
-    world = scene()
-    world.lose_start = lambda order: order.run == 1
+    simulation.submit(job("a", StepSpec(4, big, is_gang=True)))
+    simulation.submit(job("b", StepSpec(3, big, is_gang=True)))
+    simulation.run(3_000)
+    assert "a" not in simulation.finished
+    assert simulation.finished["b"].outcome is JobState.COMPLETED
+    assert all(key.job_id == "b" for key in simulation.starts)
+
+
+def test_a_failed_task_is_retried_until_its_attempts_are_used() -> None:
+    simulation = make_simulation()
+    simulation.run_fails = lambda *_: True
+    simulation.submit(job("a", StepSpec(1, SIZE)))
+    simulation.run(10_000)
+    assert simulation.finished["a"].outcome is JobState.FAILED
+    assert simulation.starts[TaskKey("a", 0, 0, 0)] == 3
+
+
+def test_a_lost_start_answer_never_causes_a_second_run() -> None:
+    simulation = make_simulation()
+    simulation.start_answer_is_lost = lambda order: order.run == 1
     for number in range(8):
-        world.submit(job(f"a{number}", StepSpec(2, SIZE)))
-    world.run(8_000)
-    assert len(world.finished) == 8
-    assert world.violations == []
-
-
-def test_a_worker_that_is_cut_off_keeps_its_tasks_until_its_lease_ends() -> (
-    None
-):
-    world = scene()
-    world.true_ms = lambda _: 60_000.0
-    world.submit(job("a", StepSpec(12, SIZE)))
-    world.run(1_000)
-    world.cut = {"w000"}
-    held = list(world.workers["w000"].running)
-    world.run(TIMING.lease_ms - 500)
-    assert all(world.starts[key] == 1 for key in held)
-    world.run(4_000)
-    assert all(world.starts[key] == 2 for key in held)
-    assert world.violations == []
-
-
-def test_a_cancelled_job_is_stopped_and_starts_nothing_more() -> None:
-    world = scene()
-    world.true_ms = lambda _: 60_000.0
-    world.submit(job("a", StepSpec(40, SIZE)))
-    world.run(1_000)
-    world.cancel("a")
-    world.run(1_000)
-    started = sum(world.starts.values())
-    assert not any(worker.running for worker in world.workers.values())
-    world.run(3_000)
-    assert sum(world.starts.values()) == started
-
-
-def test_a_new_leader_takes_running_tasks_over() -> None:
-    world = scene()
-    world.true_ms = lambda _: 4_000.0
-    world.submit(job("a", StepSpec(6, SIZE)))
-    world.run(1_500)
-    world.take_over()
-    world.run(6_000)
-    assert world.finished["a"].outcome is JobState.COMPLETED
-    assert set(world.starts.values()) == {1}
-
-
-def test_a_new_leader_waits_for_leases_that_it_cannot_see() -> None:
-    world = scene()
-    world.true_ms = lambda _: 60_000.0
-    world.submit(job("a", StepSpec(12, SIZE)))
-    world.run(1_500)
-    held = list(world.workers["w000"].running)
-    world.cut = {"w000"}
-    world.take_over()
-    world.run(TIMING.takeover_ms - 500)
-    assert all(world.starts[key] == 1 for key in held)
-    world.run(4_000)
-    assert all(world.starts[key] == 2 for key in held)
-    assert world.violations == []
-
-
-def test_nothing_starts_before_it_is_stored() -> None:
-    world = scene()
-    world.run(500)
-    world.store_is_away = True
-    world.submit(job("a", StepSpec(2, SIZE)))
-    world.run(2_000)
-    assert not world.starts
-    world.store_is_away = False
-    world.run(3_000)
-    assert world.finished["a"].outcome is JobState.COMPLETED
-
-
-def test_permits_that_expired_in_an_outage_are_not_used() -> None:
+        simulation.submit(job(f"a{number}", StepSpec(2, SIZE)))
+    simulation.run(8_000)
+    assert len(simulation.finished) == 8
+    assert simulation.violations == []
+
+
+def test_an_unreachable_worker_keeps_its_tasks_until_its_lease_expires() -> None:
+    simulation = make_simulation()
+    simulation.actual_duration_ms = lambda _: 60_000.0
+    simulation.submit(job("a", StepSpec(12, SIZE)))
+    simulation.run(1_000)
+    simulation.unreachable_worker_ids = {"w000"}
+    held_tasks = list(simulation.workers["w000"].running)
+    simulation.run(TIMING.lease_ms - 500)
+    assert all(simulation.starts[key] == 1 for key in held_tasks)
+    simulation.run(4_000)
+    assert all(simulation.starts[key] == 2 for key in held_tasks)
+    assert simulation.violations == []
+
+
+def test_a_cancelled_job_is_stopped_and_starts_no_more_tasks() -> None:
+    simulation = make_simulation()
+    simulation.actual_duration_ms = lambda _: 60_000.0
+    simulation.submit(job("a", StepSpec(40, SIZE)))
+    simulation.run(1_000)
+    simulation.cancel("a")
+    simulation.run(1_000)
+    started = sum(simulation.starts.values())
+    assert not any(worker.running for worker in simulation.workers.values())
+    simulation.run(3_000)
+    assert sum(simulation.starts.values()) == started
+
+
+def test_a_new_leader_takes_over_running_tasks() -> None:
+    simulation = make_simulation()
+    simulation.actual_duration_ms = lambda _: 4_000.0
+    simulation.submit(job("a", StepSpec(6, SIZE)))
+    simulation.run(1_500)
+    simulation.take_over()
+    simulation.run(6_000)
+    assert simulation.finished["a"].outcome is JobState.COMPLETED
+    assert set(simulation.starts.values()) == {1}
+
+
+def test_a_new_leader_waits_until_unknown_leases_have_expired() -> None:
+    simulation = make_simulation()
+    simulation.actual_duration_ms = lambda _: 60_000.0
+    simulation.submit(job("a", StepSpec(12, SIZE)))
+    simulation.run(1_500)
+    held_tasks = list(simulation.workers["w000"].running)
+    simulation.unreachable_worker_ids = {"w000"}
+    simulation.take_over()
+    simulation.run(TIMING.takeover_ms - 500)
+    assert all(simulation.starts[key] == 1 for key in held_tasks)
+    simulation.run(4_000)
+    assert all(simulation.starts[key] == 2 for key in held_tasks)
+    assert simulation.violations == []
+
+
+def test_no_task_starts_before_its_run_is_stored() -> None:
+    simulation = make_simulation()
+    simulation.run(500)
+    simulation.store_is_unavailable = True
+    simulation.submit(job("a", StepSpec(2, SIZE)))
+    simulation.run(2_000)
+    assert not simulation.starts
+    simulation.store_is_unavailable = False
+    simulation.run(3_000)
+    assert simulation.finished["a"].outcome is JobState.COMPLETED
+
+
+def test_permits_that_expired_during_a_store_outage_are_not_used() -> None:
     advice = AdvicePolicy(20, 1, valid_ms=1_000)
-    world = Simulation([queue("q", advice=advice)], workers(6))
-    world.run(500)
-    world.submit(job("a", StepSpec(4, SIZE)))
-    world.at(40, partial(setattr, world, "store_is_away", True))
-    world.run(2_000)
-    assert not world.starts
-    world.store_is_away = False
-    world.run(3_000)
-    assert world.finished["a"].outcome is JobState.COMPLETED
-    assert world.expired_tickets == 0
-
-
-def test_tasks_outlast_an_outage_of_the_store() -> None:
-    world = scene()
-    world.true_ms = lambda _: 7_000.0
-    world.submit(job("a", StepSpec(6, SIZE)))
-    world.run(1_000)
-    world.store_is_away = True
-    world.run(5_000)
-    world.store_is_away = False
-    world.run(4_000)
-    assert world.finished["a"].outcome is JobState.COMPLETED
-    assert set(world.starts.values()) == {1}
-
-
-def test_faults_in_series_leave_no_second_run() -> None:
+    simulation = Simulation([queue("q", advice=advice)], workers(6))
+    simulation.run(500)
+    simulation.submit(job("a", StepSpec(4, SIZE)))
+    simulation.schedule(40, partial(setattr, simulation, "store_is_unavailable", True))
+    simulation.run(2_000)
+    assert not simulation.starts
+    simulation.store_is_unavailable = False
+    simulation.run(3_000)
+    assert simulation.finished["a"].outcome is JobState.COMPLETED
+    assert simulation.expired_ticket_count == 0
+
+
+def test_tasks_keep_running_during_a_store_outage() -> None:
+    simulation = make_simulation()
+    simulation.actual_duration_ms = lambda _: 7_000.0
+    simulation.submit(job("a", StepSpec(6, SIZE)))
+    simulation.run(1_000)
+    simulation.store_is_unavailable = True
+    simulation.run(5_000)
+    simulation.store_is_unavailable = False
+    simulation.run(4_000)
+    assert simulation.finished["a"].outcome is JobState.COMPLETED
+    assert set(simulation.starts.values()) == {1}
+
+
+def test_a_series_of_faults_causes_no_second_run() -> None:
     for seed in range(12):
-        world = scene(6)
-        luck = random.Random(seed)
-        world.true_ms = lambda key: 500.0 + 700 * key.position
-        world.lose_start = partial(_is_unlucky, luck, 0.2)
-        world.fails = partial(_is_unlucky, luck, 0.1)
+        simulation = make_simulation(6)
+        random_source = random.Random(seed)
+        simulation.actual_duration_ms = lambda key: 500.0 + 700 * key.position
+        simulation.start_answer_is_lost = partial(_happens, random_source, 0.2)
+        simulation.run_fails = partial(_happens, random_source, 0.1)
         for number in range(25):
             is_gang = number % 3 == 0
-            world.submit(job(f"a{number}", StepSpec(4, SIZE, is_gang=is_gang)))
-            world.run(200)
+            simulation.submit(job(f"a{number}", StepSpec(4, SIZE, is_gang=is_gang)))
+            simulation.run(200)
             if number % 8 == 5:
-                world.cut = set(luck.sample(sorted(world.workers), 2))
+                simulation.unreachable_worker_ids = set(random_source.sample(sorted(simulation.workers), 2))
             if number % 8 == 1:
-                world.cut = set()
+                simulation.unreachable_worker_ids = set()
             if number % 6 == 4:
-                world.take_over()
-        world.cut = set()
-        world.run(40_000)
-        assert world.violations == [], seed
-        assert len(world.finished) == 25, seed
-
-
-def _is_unlucky(luck: random.Random, share: float, *_: object) -> bool:
-    return luck.random() < share
-
-
-def test_tasks_of_a_worker_that_never_answers_again_run_elsewhere() -> None:
-    world = scene()
-    world.true_ms = lambda _: 3_000.0
-    world.submit(job("a", StepSpec(12, SIZE)))
-    world.run(1_000)
-    world.workers["w000"].is_gone = True
-    world.cut = {"w000"}
-    world.run(TIMING.lease_ms + 8_000)
-    assert world.finished["a"].outcome is JobState.COMPLETED
-
-
-def test_members_that_wait_for_a_lost_one_are_stopped() -> None:
-    world = scene(3)
-    world.submit(job("a", StepSpec(4, SIZE, is_gang=True)))
-    world.lose_start = lambda order: order.run == 1
-    world.run(60)
-    world.take_over()
-    world.run(12_000)
-    assert world.finished["a"].outcome is JobState.COMPLETED
-    assert world.violations == []
-
-
-def test_an_order_that_was_overtaken_by_a_new_leader_ends_the_old_one() -> (
-    None
-):
-    world = scene(1)
-    world.run(500)
-    old = world.controller
+                simulation.take_over()
+        simulation.unreachable_worker_ids = set()
+        simulation.run(40_000)
+        assert simulation.violations == [], seed
+        assert len(simulation.finished) == 25, seed
+
+
+def _happens(random_source: random.Random, share: float, *_: object) -> bool:
+    return random_source.random() < share
+
+
+def test_tasks_of_a_lost_worker_run_elsewhere() -> None:
+    simulation = make_simulation()
+    simulation.actual_duration_ms = lambda _: 3_000.0
+    simulation.submit(job("a", StepSpec(12, SIZE)))
+    simulation.run(1_000)
+    simulation.workers["w000"].is_gone = True
+    simulation.unreachable_worker_ids = {"w000"}
+    simulation.run(TIMING.lease_ms + 8_000)
+    assert simulation.finished["a"].outcome is JobState.COMPLETED
+
+
+def test_gang_members_that_wait_for_a_lost_member_are_stopped() -> None:
+    simulation = make_simulation(3)
+    simulation.submit(job("a", StepSpec(4, SIZE, is_gang=True)))
+    simulation.start_answer_is_lost = lambda order: order.run == 1
+    simulation.run(60)
+    simulation.take_over()
+    simulation.run(12_000)
+    assert simulation.finished["a"].outcome is JobState.COMPLETED
+    assert simulation.violations == []
+
+
+def test_a_fenced_start_order_ends_the_old_leadership() -> None:
+    simulation = make_simulation(1)
+    simulation.run(500)
+    old = simulation.controller
     start = PlannedStart(TaskKey("a", 0, 0, 0), 1, "w000")
     fenced = Err(not_run(FailureCode.FENCED, "token"))
     old.handle_start_answer(StartAnswered(start, fenced, 0, 0))
     assert old.is_over
 
 
-def test_an_order_that_met_another_life_of_the_worker_frees_its_tasks() -> (
-    None
-):
-    world = scene(2)
-    world.true_ms = lambda _: 60_000.0
-    world.submit(job("a", StepSpec(12, SIZE)))
-    world.run(1_000)
-    held = list(world.workers["w000"].running)
-    assert held
-    start = PlannedStart(held[0], 1, "w000")
-    replaced = Err(not_run(FailureCode.REPLACED, "another life"))
-    world.controller.handle_start_answer(StartAnswered(start, replaced, 0, 0))
-    assert "w000" not in world.controller.state.workers_by_id
-    assert not world.controller.is_over
+def test_a_start_order_to_a_replaced_worker_frees_its_tasks() -> None:
+    simulation = make_simulation(2)
+    simulation.actual_duration_ms = lambda _: 60_000.0
+    simulation.submit(job("a", StepSpec(12, SIZE)))
+    simulation.run(1_000)
+    held_tasks = list(simulation.workers["w000"].running)
+    assert held_tasks
+    start = PlannedStart(held_tasks[0], 1, "w000")
+    replaced = Err(not_run(FailureCode.REPLACED, "another incarnation"))
+    simulation.controller.handle_start_answer(StartAnswered(start, replaced, 0, 0))
+    assert "w000" not in simulation.controller.state.workers_by_id
+    assert not simulation.controller.is_over
--- a/tests/control/test_order_sender.py
+++ b/tests/control/test_order_sender.py
@@ -34,47 +34,47 @@
 LOST = Err(may_have_run(FailureCode.TIMEOUT, "lost"))
 
 
-def answers(
+def call_with_outcomes(
     *outcomes: Result[int, Failure],
 ) -> Callable[[int], Result[int, Failure]]:
-    left = list(outcomes)
-    return lambda _: left.pop(0)
+    remaining = list(outcomes)
+    return lambda _: remaining.pop(0)
 
 
-def test_an_unanswered_order_is_repeated() -> None:
-    assert retry_unanswered(answers(LOST, Ok(7))) == Ok(7)
+def test_an_unanswered_order_is_retried() -> None:
+    assert retry_unanswered(call_with_outcomes(LOST, Ok(7))) == Ok(7)
 
 
-def test_a_call_that_is_never_answered_ends_in_time() -> None:
-    waited: list[int] = []
+def test_a_call_that_is_never_answered_ends_within_700_ms() -> None:
+    timeouts_ms: list[int] = []
 
     def call(timeout_ms: int) -> Result[int, Failure]:
-        waited.append(timeout_ms)
+        timeouts_ms.append(timeout_ms)
         return LOST
 
     assert retry_unanswered(call) == LOST
-    assert sum(waited) <= 700
+    assert sum(timeouts_ms) <= 700
 
 
 @pytest.mark.parametrize(
     "code", [FailureCode.STALE, FailureCode.NO_ROOM, FailureCode.TICKET]
 )
-def test_a_refused_repeat_does_not_excuse_the_first_attempt(
+def test_a_refused_retry_leaves_the_first_attempt_uncertain(
     code: FailureCode,
 ) -> None:
-    outcome = retry_unanswered(answers(LOST, Err(not_run(code, "409"))))
+    outcome = retry_unanswered(call_with_outcomes(LOST, Err(not_run(code, "409"))))
     assert isinstance(outcome, Err)
     assert outcome.err_value.verdict is Verdict.MAY_HAVE_RUN
     assert outcome.err_value.code is code
 
 
-def test_a_refused_first_attempt_is_final() -> None:
+def test_a_refused_first_attempt_is_not_retried() -> None:
     refused = Err(not_run(FailureCode.STALE, "old"))
-    assert retry_unanswered(answers(refused)) == refused
+    assert retry_unanswered(call_with_outcomes(refused)) == refused
 
 
-class HangingWorkers:
-    """Answers nothing from one worker until it is released."""
+class UnresponsiveWorkers:
+    """Lets calls to one worker hang until they are released."""
 
     def __init__(self) -> None:
         self.release = threading.Event()
@@ -83,15 +83,15 @@
         self, worker: WorkerInfo, order: StartOrder, timeout_ms: int
     ) -> Result[int, Failure]:
         del order, timeout_ms
-        if worker.worker_id == "mute":
+        if worker.worker_id == "unresponsive":
             self.release.wait(10)
             return LOST
         return Ok(1)
 
 
-def test_orders_to_mute_workers_do_not_hold_up_others() -> None:
-    """1,000 starts a second of which 5% stay unanswered for 0.7 s."""
-    workers = HangingWorkers()
+def test_orders_to_unresponsive_workers_do_not_delay_others() -> None:
+    """1,000 starts a second, of which 5% stay unanswered for 0.7 s."""
+    workers = UnresponsiveWorkers()
     answered = threading.Event()
 
     def post(event: object) -> None:
@@ -102,8 +102,8 @@
     unanswered = int(1_000 * 0.05 * sum(ATTEMPT_TIMEOUTS_MS) / 1_000)
     try:
         for number in range(unanswered):
-            send(sender, "mute", number)
-        send(sender, "sound", unanswered)
+            send(sender, "unresponsive", number)
+        send(sender, "responsive", unanswered)
         assert answered.wait(5)
     finally:
         workers.release.set()
--- a/tests/planner/test_load_patterns.py
+++ b/tests/planner/test_load_patterns.py
@@ -1,6 +1,6 @@
-"""Loads that the policy answers, in virtual time and without a network.
+"""Load patterns that the planner must handle, in virtual time.
 
-Each test names its pattern; the bounds come from what callers wait for.
+The bounds follow from how long callers are ready to wait.
 """
 
 from __future__ import annotations
@@ -15,156 +15,158 @@
 from magnoliapitch.workload.job import JobSpec
 from magnoliapitch.workload.job import StepSpec
 from magnoliapitch.workload.job import TaskKey
-from tests.control.load import GROWN_KINDS
-from tests.control.load import Load
+from tests.control.load import LARGE_CLUSTER_JOB_KINDS
+from tests.control.load import LoadGenerator
 from tests.control.simulation import Simulation
 from tests.control.simulation import queue
 from tests.control.simulation import workers
 
 
-URGENT_START_MS = 10_000
-# The users' target for days with trouble on their grown sites.
-GROWN_WORTH = 0.64
-# Twenty batches behind a gang that is given up on.
-STARVED_MAX_MS = 35_000
-# What a plan's objective, 2.2 times its length, leaves before its start.
-GANG_START_MS = 7_400
+COMPLETION_WAIT_MS = 10_000
+# Share that the users require on days with faults at their enlarged sites.
+LARGE_CLUSTER_MIN_EARNED_SHARE = 0.64
+# Time for twenty batches, including the time until the planner no longer
+# reserves capacity for the gang ahead of them.
+BATCHES_DONE_MS = 35_000
+# Time before the start that the objective of a gang, 2.2 times its duration,
+# leaves.
+MAX_GANG_START_MS = 7_400
 SLOW_ADVICE = AdvicePolicy(decision_ms=900, per_worker_ms=5.5, valid_ms=2_500)
 
 
-def test_a_burst_of_urgent_work_over_a_busy_pool() -> None:
-    load = Load(24, 0.9)
+def test_a_burst_of_urgent_jobs_on_a_busy_pool() -> None:
+    load = LoadGenerator(24, 0.9)
     load.run(8_000)
-    load.factor_by_kind = {"urgent": 2.2}
+    load.rate_factor_by_kind = {"urgent": 2.2}
     load.run(4_000)
-    load.scene.run(URGENT_START_MS)
-    assert load.earned("urgent") >= 0.9
-    assert load.scene.violations == []
+    load.simulation.run(COMPLETION_WAIT_MS)
+    assert load.earned_share("urgent") >= 0.9
+    assert load.simulation.violations == []
 
 
-def test_wide_gangs_and_wide_batches_in_a_large_pool() -> None:
-    """A third of the grown clubs: permits are slow, gangs 17 tasks wide."""
-    load = Load(60, 0.34, lanes=12, kinds=GROWN_KINDS)
+def test_large_gangs_and_batches_on_a_large_pool() -> None:
+    """A third of an enlarged site: slow permits, gangs of 17 tasks."""
+    load = LoadGenerator(60, 0.34, advisor_call_limit=12, kinds=LARGE_CLUSTER_JOB_KINDS)
     load.run(8_000)
-    load.scene.run(16_000)
-    assert load.earned() >= GROWN_WORTH
-    assert load.earned("urgent") >= 0.9
-    assert load.scene.violations == []
+    load.simulation.run(16_000)
+    assert load.earned_share() >= LARGE_CLUSTER_MIN_EARNED_SHARE
+    assert load.earned_share("urgent") >= 0.9
+    assert load.simulation.violations == []
 
 
-def test_a_burst_of_gangs_leaves_urgent_work_alone() -> None:
-    load = Load(24, 0.9)
+def test_a_burst_of_gangs_does_not_delay_urgent_jobs() -> None:
+    load = LoadGenerator(24, 0.9)
     load.run(5_000)
-    load.factor_by_kind = {"plan": 2.0}
+    load.rate_factor_by_kind = {"plan": 2.0}
     load.run(4_000)
-    load.factor_by_kind = {}
+    load.rate_factor_by_kind = {}
     load.run(4_000)
-    load.scene.run(30_000)
-    assert load.earned("urgent") >= 0.9
-    assert load.earned("batch") >= 0.8
-    assert load.scene.violations == []
+    load.simulation.run(30_000)
+    assert load.earned_share("urgent") >= 0.9
+    assert load.earned_share("batch") >= 0.8
+    assert load.simulation.violations == []
 
 
-def test_a_wide_gang_starts_though_permits_are_slow_and_short_lived() -> None:
-    scene = Simulation([queue("q", advice=SLOW_ADVICE)], workers(176))
-    scene.good_share = 0.35
+def test_a_large_gang_starts_with_slow_and_short_lived_permits() -> None:
+    simulation = Simulation([queue("q", advice=SLOW_ADVICE)], workers(176))
+    simulation.permitted_share = 0.35
     gang = StepSpec(30, Resources(9_000, 26_000), is_gang=True)
     for number in range(4):
-        scene.submit(JobSpec(f"a{number}", "q", "text", (gang,)))
-    scene.run(15_000)
-    states = [done.outcome for done in scene.finished.values()]
+        simulation.submit(JobSpec(f"a{number}", "q", "text", (gang,)))
+    simulation.run(15_000)
+    states = [done.outcome for done in simulation.finished.values()]
     assert states == [JobState.COMPLETED] * 4
 
 
-def test_a_wide_gang_starts_over_a_backlog_of_small_batches() -> None:
-    """Small tasks wait for every bit of room; a gang needs 144 cores."""
+def test_a_large_gang_starts_ahead_of_a_backlog_of_small_tasks() -> None:
+    """Small tasks compete for all free capacity; the gang needs 144 cores."""
     batches = queue("batches", 2, AdvicePolicy(20, 0.3, 2_500))
     plans = queue("plans", 1, AdvicePolicy(560, 8, 2_500))
-    scene = Simulation([batches, plans], workers(48), lanes=12)
-    scene.good_share_by_queue = {"batches": 0.45, "plans": 0.35}
-    lengths = random.Random(1)
-    true_ms_by_task: defaultdict[TaskKey, float] = defaultdict(
-        lambda: 3_400 * lengths.uniform(0.5, 1.5)
+    simulation = Simulation([batches, plans], workers(48), advisor_call_limit=12)
+    simulation.permitted_share_by_queue = {"batches": 0.45, "plans": 0.35}
+    duration_source = random.Random(1)
+    actual_duration_ms_by_task: defaultdict[TaskKey, float] = defaultdict(
+        lambda: 3_400 * duration_source.uniform(0.5, 1.5)
     )
-    scene.true_ms = lambda key: true_ms_by_task[key._replace(position=0)]
+    simulation.actual_duration_ms = lambda key: actual_duration_ms_by_task[key._replace(position=0)]
     small = StepSpec(10, Resources(3_500, 10_000), 3_400)
     for number in range(150):
-        scene.submit(JobSpec(f"b{number}", "batches", "text", (small,)))
-    scene.run(4_000)
+        simulation.submit(JobSpec(f"b{number}", "batches", "text", (small,)))
+    simulation.run(4_000)
     gang = StepSpec(16, Resources(9_000, 26_000), 6_200, is_gang=True)
-    scene.submit(JobSpec("plan", "plans", "text", (gang,)))
-    scene.run(GANG_START_MS)
-    assert scene.starts[TaskKey("plan", 0, 0, 0)] == 1
-    assert scene.violations == []
+    simulation.submit(JobSpec("plan", "plans", "text", (gang,)))
+    simulation.run(MAX_GANG_START_MS)
+    assert simulation.starts[TaskKey("plan", 0, 0, 0)] == 1
+    assert simulation.violations == []
 
 
-def test_a_gang_that_waits_behind_services_starves_nobody() -> None:
-    """Services never end, so that the gang's room never comes."""
-    scene = Simulation([queue("q"), queue("batches", 2)], workers(2))
-    scene.true_ms = lambda key: (
+def test_a_gang_that_can_never_start_does_not_starve_other_jobs() -> None:
+    """The service never ends, so the gang never gets enough capacity."""
+    simulation = Simulation([queue("q"), queue("batches", 2)], workers(2))
+    simulation.actual_duration_ms = lambda key: (
         3_600_000.0 if key.job_id == "service" else 500.0
     )
-    half = Resources(16_000, 8_000)
-    scene.submit(JobSpec("service", "q", "text", (StepSpec(2, half),)))
-    scene.run(1_000)
+    half_worker = Resources(16_000, 8_000)
+    simulation.submit(JobSpec("service", "q", "text", (StepSpec(2, half_worker),)))
+    simulation.run(1_000)
     gang = StepSpec(2, Resources(20_000, 8_000), is_gang=True)
-    scene.submit(JobSpec("gang", "q", "text", (gang,)))
+    simulation.submit(JobSpec("gang", "q", "text", (gang,)))
     small = StepSpec(4, Resources(4_000, 4_000))
     for number in range(20):
-        scene.submit(JobSpec(f"b{number}", "batches", "text", (small,)))
-    scene.run(STARVED_MAX_MS)
-    assert len(scene.finished) == 20
-    assert TaskKey("gang", 0, 0, 0) not in scene.starts
+        simulation.submit(JobSpec(f"b{number}", "batches", "text", (small,)))
+    simulation.run(BATCHES_DONE_MS)
+    assert len(simulation.finished) == 20
+    assert TaskKey("gang", 0, 0, 0) not in simulation.starts
 
 
-def test_jobs_that_fail_everywhere_do_not_hold_up_the_others() -> None:
-    scene = Simulation([queue("q")], workers(6))
-    scene.fails = lambda key, _: key.job_id.startswith("bad")
+def test_jobs_that_fail_on_every_worker_do_not_delay_others() -> None:
+    simulation = Simulation([queue("q")], workers(6))
+    simulation.run_fails = lambda key, _: key.job_id.startswith("bad")
     size = Resources(4_000, 8_000)
     for number in range(20):
-        scene.submit(
+        simulation.submit(
             JobSpec(f"bad{number}", "q", "text", (StepSpec(4, size),))
         )
-        scene.submit(JobSpec(f"a{number}", "q", "text", (StepSpec(2, size),)))
-    scene.run(20_000)
-    assert len(scene.finished) == 40
-    for name, done in scene.finished.items():
+        simulation.submit(JobSpec(f"a{number}", "q", "text", (StepSpec(2, size),)))
+    simulation.run(20_000)
+    assert len(simulation.finished) == 40
+    for name, done in simulation.finished.items():
         is_bad = name.startswith("bad")
-        wanted = JobState.FAILED if is_bad else JobState.COMPLETED
-        assert done.outcome is wanted
+        expected_state = JobState.FAILED if is_bad else JobState.COMPLETED
+        assert done.outcome is expected_state
 
 
-def test_a_wave_of_cancellations_frees_the_room_at_once() -> None:
-    scene = Simulation([queue("q")], workers(6))
-    scene.true_ms = lambda _: 30_000.0
+def test_many_cancellations_free_their_capacity_at_once() -> None:
+    simulation = Simulation([queue("q")], workers(6))
+    simulation.actual_duration_ms = lambda _: 30_000.0
     size = Resources(16_000, 8_000)
     for number in range(10):
-        scene.submit(JobSpec(f"a{number}", "q", "text", (StepSpec(4, size),)))
-    scene.run(2_000)
+        simulation.submit(JobSpec(f"a{number}", "q", "text", (StepSpec(4, size),)))
+    simulation.run(2_000)
     for number in range(10):
-        scene.cancel(f"a{number}")
-    scene.true_ms = lambda _: 500.0
-    scene.submit(JobSpec("b", "q", "text", (StepSpec(12, size),)))
-    scene.run(4_000)
-    assert scene.finished["b"].outcome is JobState.COMPLETED
+        simulation.cancel(f"a{number}")
+    simulation.actual_duration_ms = lambda _: 500.0
+    simulation.submit(JobSpec("b", "q", "text", (StepSpec(12, size),)))
+    simulation.run(4_000)
+    assert simulation.finished["b"].outcome is JobState.COMPLETED
 
 
-def test_a_large_pool_is_planned_within_the_time_it_has() -> None:
-    load = Load(176, 6.0, lanes=30)
+def test_a_large_pool_is_planned_within_the_round_interval() -> None:
+    load = LoadGenerator(176, 6.0, advisor_call_limit=30)
     load.run(2_000)
-    rounds = load.scene.now_ms // 20
-    assert load.scene.commits >= rounds * 0.9
-    assert load.scene.violations == []
+    rounds = load.simulation.now_ms // 20
+    assert load.simulation.commit_count >= rounds * 0.9
+    assert load.simulation.violations == []
 
 
-def test_a_worker_that_fails_everything_costs_no_job() -> None:
-    scene = Simulation([queue("q")], workers(6))
-    scene.fails = lambda _, worker_id: worker_id == "w000"
+def test_a_worker_that_fails_every_run_causes_no_failed_job() -> None:
+    simulation = Simulation([queue("q")], workers(6))
+    simulation.run_fails = lambda _, worker_id: worker_id == "w000"
     size = Resources(8_000, 8_000)
     for number in range(40):
         steps = (StepSpec(3, size),)
-        scene.submit(JobSpec(f"a{number}", "q", "text", steps))
-        scene.run(300)
-    scene.run(20_000)
-    outcomes = [done.outcome for done in scene.finished.values()]
+        simulation.submit(JobSpec(f"a{number}", "q", "text", steps))
+        simulation.run(300)
+    simulation.run(20_000)
+    outcomes = [done.outcome for done in simulation.finished.values()]
     assert outcomes == [JobState.COMPLETED] * 40
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -27,7 +27,7 @@
     return state
 
 
-def add(
+def add_job(
     state: SchedulerState,
     *steps: StepSpec,
     name: str = "a",
@@ -38,12 +38,12 @@
     state.add_job(JobSpec(name, "q", "", steps), queue, 0)
 
 
-def test_a_ticket_that_was_refused_is_asked_for_again() -> None:
+def test_a_refused_ticket_is_requested_again() -> None:
     state = make_state()
-    add(state, StepSpec(1, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(1, SIZE), advice=ADVICE)
     planner = Planner()
-    asked = planner.plan(state, 0, 0).permit_requests[0]
-    state.record_permits(STEP, asked.worker_ids, [Permit("w1", "t")], 2_500)
+    request = planner.plan(state, 0, 0).permit_requests[0]
+    state.record_permits(STEP, request.worker_ids, [Permit("w1", "t")], 2_500)
     start = planner.plan(state, 10, 10).starts[0]
     assert (start.worker_id, start.ticket) == ("w1", "t")
     step = state.step(STEP)
@@ -54,9 +54,9 @@
     assert not plan.starts
 
 
-def test_a_valid_ticket_elsewhere_saves_a_call() -> None:
+def test_a_valid_ticket_for_another_worker_saves_a_call() -> None:
     state = make_state()
-    add(state, StepSpec(1, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(1, SIZE), advice=ADVICE)
     names = list(state.workers_by_id)
     permits = [Permit(name, "t") for name in names]
     state.record_permits(STEP, names, permits, 2_500)
@@ -68,9 +68,9 @@
     assert not plan.permit_requests
 
 
-def test_an_old_ticket_is_not_used() -> None:
+def test_a_ticket_that_expires_soon_is_not_used() -> None:
     state = make_state()
-    add(state, StepSpec(2, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(2, SIZE), advice=ADVICE)
     permits = [Permit(name, "t") for name in state.workers_by_id]
     state.record_permits(STEP, state.workers_by_id, permits, 2_500)
     plan = Planner().plan(state, 2_400, 2_400)
@@ -80,23 +80,23 @@
 
 def test_only_permitted_workers_run_a_step() -> None:
     state = make_state()
-    add(state, StepSpec(3, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(3, SIZE), advice=ADVICE)
     names = list(state.workers_by_id)
     state.record_permits(STEP, names, [Permit("w2", "t")], 2_500)
     plan = Planner().plan(state, 0, 0)
     assert {start.worker_id for start in plan.starts} == {"w2"}
 
 
-def test_no_worker_gets_more_than_it_holds() -> None:
+def test_no_worker_gets_more_than_its_capacity() -> None:
     state = make_state(2)
-    add(state, StepSpec(20, SIZE))
+    add_job(state, StepSpec(20, SIZE))
     starts = Planner().plan(state, 0, 0).starts
     assert len(starts) == 8
 
 
-def test_at_most_so_many_tasks_of_a_step_share_a_worker() -> None:
+def test_max_per_worker_limits_the_tasks_of_a_step() -> None:
     state = make_state(3)
-    add(state, StepSpec(9, SIZE, max_per_worker=2))
+    add_job(state, StepSpec(9, SIZE, max_per_worker=2))
     starts = Planner().plan(state, 0, 0).starts
     counts = [
         sum(start.worker_id == name for start in starts)
@@ -105,28 +105,28 @@
     assert counts == [2, 2, 2]
 
 
-def test_a_required_label_is_kept() -> None:
+def test_only_workers_with_the_required_label_run_a_step() -> None:
     state = make_state(2)
     state.update_worker(
         WorkerInfo(
             "w9", "app", "10.0.0.9:1", "z", "r9", frozenset(("gpu",))
         )._replace(capacity=Resources(8_000, 16_000))
     ).is_usable = True
-    add(state, StepSpec(2, SIZE, label="gpu"))
+    add_job(state, StepSpec(2, SIZE, label="gpu"))
     starts = Planner().plan(state, 0, 0).starts
     assert {start.worker_id for start in starts} == {"w9"}
 
 
-def test_a_draining_worker_gets_nothing() -> None:
+def test_a_draining_worker_gets_no_tasks() -> None:
     state = make_state(2, is_draining=True)
-    add(state, StepSpec(2, SIZE))
+    add_job(state, StepSpec(2, SIZE))
     assert not Planner().plan(state, 0, 0).starts
 
 
-def test_urgent_work_comes_first() -> None:
+def test_the_most_urgent_queue_comes_first() -> None:
     state = make_state(1)
-    add(state, StepSpec(4, SIZE), name="bulk", priority=2)
-    add(state, StepSpec(4, SIZE), name="urgent", priority=0)
+    add_job(state, StepSpec(4, SIZE), name="bulk", priority=2)
+    add_job(state, StepSpec(4, SIZE), name="urgent", priority=0)
     starts = Planner().plan(state, 0, 0).starts
     assert {start.task.job_id for start in starts} == {"urgent"}
 
@@ -142,10 +142,10 @@
     assert len(planner.plan(state, 2, 1_500).starts) == 2
 
 
-def test_a_gang_asks_for_all_its_tickets_together() -> None:
+def test_a_gang_requests_all_its_tickets_in_one_call() -> None:
     state = make_state(6)
     big = Resources(5_000, 4_000)
-    add(state, StepSpec(4, big, is_gang=True), advice=ADVICE)
+    add_job(state, StepSpec(4, big, is_gang=True), advice=ADVICE)
     names = list(state.workers_by_id)
     state.record_permits(STEP, names, [Permit(n, "t") for n in names], 2_500)
     step = state.step(STEP)
@@ -157,11 +157,11 @@
     assert set(plan.permit_requests[0].worker_ids) == set(names)
 
 
-def test_a_gang_keeps_the_workers_that_it_asks_for() -> None:
+def test_a_gang_keeps_the_workers_of_its_advisor_call() -> None:
     state = make_state(4)
     big = Resources(5_000, 4_000)
-    add(state, StepSpec(2, big, is_gang=True), name="a", advice=ADVICE)
-    add(state, StepSpec(4, big), name="b", priority=1)
+    add_job(state, StepSpec(2, big, is_gang=True), name="a", advice=ADVICE)
+    add_job(state, StepSpec(4, big), name="b", priority=1)
     names = list(state.workers_by_id)
     state.record_permits(STEP, names, [Permit(n, "t") for n in names], 100)
     step = state.step(STEP)
