--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -22,8 +22,8 @@
     from collections.abc import Callable
 
     from magnoliapitch.control.effects import Effects
-    from magnoliapitch.control.events import PermitsAnswered
     from magnoliapitch.control.events import Committed
+    from magnoliapitch.control.events import PermitsAnswered
     from magnoliapitch.control.events import StartAnswered
     from magnoliapitch.control.events import StopAnswered
     from magnoliapitch.control.events import WorkerReported
@@ -121,7 +121,9 @@
         instance may lead by then.
         """
         age_ms = now_ms - self._stored_ms
-        return not self.is_over and age_ms <= self._timing.max_leader_silence_ms
+        return (
+            not self.is_over and age_ms <= self._timing.max_leader_silence_ms
+        )
 
     def next_lease_deadline(self, worker_id: str, now_ms: int) -> int | None:
         """Return the end of a worker's next lease on the worker's clock.
@@ -150,7 +152,9 @@
             if info.is_draining and not was_draining:
                 log_event("worker-draining", worker=worker_id)
 
-    def handle_jobs_changed(self, job_ids: frozenset[str], now_ms: int) -> None:
+    def handle_jobs_changed(
+        self, job_ids: frozenset[str], now_ms: int
+    ) -> None:
         """Add submitted jobs and cancel cancelled ones."""
         for job_id in job_ids:
             stored = self._replica.get(job_id)
@@ -181,7 +185,9 @@
         """Apply a worker's report of active and ended runs, or a failure."""
         worker_id = event.worker_id
         if isinstance(event.outcome, Err):
-            if not self._handle_final_failure(worker_id, event.outcome.err_value):
+            if not self._handle_final_failure(
+                worker_id, event.outcome.err_value
+            ):
                 self._reachability.record_unanswered_renewal(worker_id)
             return
         report = event.outcome.ok_value
@@ -191,7 +197,9 @@
         applied = self._report_applier.apply(
             worker_id, report, event.sent_ms, event.received_ms
         )
-        self._last_end_sequence_by_worker[worker_id] = applied.last_end_sequence
+        self._last_end_sequence_by_worker[worker_id] = (
+            applied.last_end_sequence
+        )
         for order in applied.unexpected:
             info = self._info_by_worker.get(worker_id)
             if info is not None:
@@ -215,9 +223,13 @@
         if run is None or run.confirmed_ms is not None:
             return
         if failure.code in (FailureCode.UNAVAILABLE, FailureCode.TIMEOUT):
-            self._reachability.record_unanswered_order(planned.worker_id, event.received_ms)
+            self._reachability.record_unanswered_order(
+                planned.worker_id, event.received_ms
+            )
         if failure.verdict is Verdict.NOT_RUN:
-            self._order_issuer.undo_refused_start(run, planned, failure, event.received_ms)
+            self._order_issuer.undo_refused_start(
+                run, planned, failure, event.received_ms
+            )
         else:
             self.state.mark_for_stop(run)
 
@@ -228,8 +240,12 @@
             if run is not None:
                 run.stopped_ms = event.received_ms
             return
-        if not self._handle_final_failure(event.worker_id, event.outcome.err_value):
-            self._reachability.record_unanswered_order(event.worker_id, event.received_ms)
+        if not self._handle_final_failure(
+            event.worker_id, event.outcome.err_value
+        ):
+            self._reachability.record_unanswered_order(
+                event.worker_id, event.received_ms
+            )
 
     def handle_commit(self, event: Committed, now_ms: int) -> None:
         """Acknowledge ends and issue starts that waited for the commit.
@@ -242,7 +258,10 @@
             return
         self._stored_ms = max(self._stored_ms, event.sent_ms)
         self._progress_batcher.record_stored(now_ms)
-        for worker_id, sequence in self._end_sequences_in_commit_by_worker.items():
+        for (
+            worker_id,
+            sequence,
+        ) in self._end_sequences_in_commit_by_worker.items():
             self._effects.acknowledge(worker_id, sequence)
         starts, self._starts_in_commit = self._starts_in_commit, []
         for planned in starts:
@@ -289,7 +308,10 @@
             return
         self._check_workers(now_ms)
         plan = self.planner.plan(
-            self.state, now_ms, wall_ms, self._effects.available_advisor_calls()
+            self.state,
+            now_ms,
+            wall_ms,
+            self._effects.available_advisor_calls(),
         )
         if self.may_issue_orders(now_ms):
             self._record_starts(plan.starts, now_ms)
@@ -324,11 +346,15 @@
                 ready_age_ms=now_ms - ready_ms,
             )
 
-    def _request_permits(self, permit_requests: tuple[PlannedPermitRequest, ...]) -> None:
+    def _request_permits(
+        self, permit_requests: tuple[PlannedPermitRequest, ...]
+    ) -> None:
         for request in permit_requests:
             step = self.state.step(request.step)
             if step is not None and not step.has_call_in_flight:
-                timeout_ms = ADVISOR_BASE_TIMEOUT_MS + int(request.expected_call_ms)
+                timeout_ms = ADVISOR_BASE_TIMEOUT_MS + int(
+                    request.expected_call_ms
+                )
                 if self._effects.request_permits(request, timeout_ms):
                     step.in_flight_worker_ids = frozenset(request.worker_ids)
 
@@ -340,7 +366,9 @@
         if not self.is_over:
             self.is_over = True
             log_event(
-                "leadership-lost_count", epoch=self._leader.epoch, reason=reason
+                "leadership-lost",
+                epoch=self._leader.epoch,
+                reason=reason,
             )
 
     def _add_job(self, stored: StoredJob, now_ms: int) -> None:
@@ -367,7 +395,7 @@
         :return: whether the failure was of that kind.
         """
         if failure.code is FailureCode.FENCED:
-            self.stop_leading("a worker refused a call: it has seen a higher fencing token")
+            self.stop_leading("a worker has seen a higher fencing token")
         elif failure.code is FailureCode.REPLACED:
             self._remove_worker(worker_id, "replaced")
         else:
@@ -378,20 +406,28 @@
         for worker in list(self.state.workers_by_id.values()):
             worker_id = worker.worker_id
             is_reachable = self._reachability.is_reachable(worker_id, now_ms)
-            is_avoided = self.planner.worker_backoff.is_avoided(worker_id, now_ms)
+            is_avoided = self.planner.worker_backoff.is_avoided(
+                worker_id, now_ms
+            )
             worker.is_usable = (
-                is_reachable and not is_avoided and worker_id in self._info_by_worker
+                is_reachable
+                and not is_avoided
+                and worker_id in self._info_by_worker
             )
             if not is_reachable:
                 self._lose_runs_if_leases_expired(worker, now_ms)
 
-    def _lose_runs_if_leases_expired(self, worker: TrackedWorker, now_ms: int) -> None:
+    def _lose_runs_if_leases_expired(
+        self, worker: TrackedWorker, now_ms: int
+    ) -> None:
         worker_id = worker.worker_id
         if now_ms < self._reachability.leases_expired_at_ms(worker_id):
             return
         lost_count = self.state.lose_runs(worker_id)
         if lost_count:
-            log_event("worker-lease-over", worker=worker_id, lost_runs=lost_count)
+            log_event(
+                "worker-lease-over", worker=worker_id, lost_runs=lost_count
+            )
         if worker_id not in self._info_by_worker:
             self._remove_worker(worker_id, "unlisted")
 
@@ -416,10 +452,17 @@
     def _commit(self, now_ms: int) -> None:
         if self._is_commit_in_flight:
             return
-        batch = self._progress_batcher.next_batch(now_ms, bool(self._uncommitted_starts))
+        batch = self._progress_batcher.next_batch(
+            now_ms, bool(self._uncommitted_starts)
+        )
         if batch is None:
             return
-        self._end_sequences_in_commit_by_worker = dict(self._last_end_sequence_by_worker)
-        self._starts_in_commit, self._uncommitted_starts = self._uncommitted_starts, []
+        self._end_sequences_in_commit_by_worker = dict(
+            self._last_end_sequence_by_worker
+        )
+        self._starts_in_commit, self._uncommitted_starts = (
+            self._uncommitted_starts,
+            [],
+        )
         self._is_commit_in_flight = True
         self._effects.commit(batch)
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -16,11 +16,11 @@
 from magnoliapitch.advice.lanes import Lane
 from magnoliapitch.advice.lanes import LanePool
 from magnoliapitch.control.controller import Controller
-from magnoliapitch.control.events import PermitsAnswered
 from magnoliapitch.control.events import Committed
 from magnoliapitch.control.events import ConfigurationChanged
 from magnoliapitch.control.events import Event
 from magnoliapitch.control.events import JobsChanged
+from magnoliapitch.control.events import PermitsAnswered
 from magnoliapitch.control.events import StartAnswered
 from magnoliapitch.control.events import StopAnswered
 from magnoliapitch.control.events import WorkerReported
@@ -111,9 +111,13 @@
         self._events: queue.SimpleQueue[Event] = queue.SimpleQueue()
         self._renewer_by_worker: dict[str, LeaseRenewer] = {}
         self._controller: Controller | None = None
-        self._order_sender = OrderSender(clients.workers, clock, self.post, metrics)
+        self._order_sender = OrderSender(
+            clients.workers, clock, self.post, metrics
+        )
         self._commit_executor = ThreadPoolExecutor(1, "commits")
-        self._advisor_executor = ThreadPoolExecutor(ADVISOR_THREAD_COUNT, "asks")
+        self._advisor_executor = ThreadPoolExecutor(
+            ADVISOR_THREAD_COUNT, "asks"
+        )
         self._list_executor = ThreadPoolExecutor(1, "lists")
         self._is_refreshing = False
         self._refreshed_ms = 0
@@ -305,7 +309,9 @@
         """Mark stored jobs for deletion, which happens in batches."""
         self._job_ids_to_delete.update(job_ids)
 
-    def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
+    def request_permits(
+        self, request: PlannedPermitRequest, timeout_ms: int
+    ) -> bool:
         """Call the advisor for permits if a lane is idle.
 
         :return: whether the call was started.
@@ -313,7 +319,9 @@
         lane = self._clients.lanes.reserve(request)
         if lane is None:
             return False
-        self._advisor_executor.submit(self._request_permits_now, lane, request, timeout_ms)
+        self._advisor_executor.submit(
+            self._request_permits_now, lane, request, timeout_ms
+        )
         return True
 
     def available_advisor_calls(self) -> int:
@@ -331,7 +339,9 @@
             time.sleep(COMMIT_RETRY_DELAY_MS / 1000)
         self.post(Committed(outcome, sent_ms))
 
-    def _request_permits_now(self, lane: Lane, request: PlannedPermitRequest, timeout_ms: int) -> None:
+    def _request_permits_now(
+        self, lane: Lane, request: PlannedPermitRequest, timeout_ms: int
+    ) -> None:
         sent_ms = self._clock.now_ms()
         outcome = self._clients.lanes.call(lane, request, timeout_ms)
         self.post(PermitsAnswered(request, outcome, sent_ms))
--- a/src/magnoliapitch/control/effects.py
+++ b/src/magnoliapitch/control/effects.py
@@ -49,7 +49,9 @@
     def delete_jobs(self, job_ids: Sequence[str]) -> None:
         """Delete stored jobs that have ended; no event follows."""
 
-    def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
+    def request_permits(
+        self, request: PlannedPermitRequest, timeout_ms: int
+    ) -> bool:
         """Call the advisor for permits, unless every lane to it is busy.
 
         :return: whether the call was started and an event will follow.
--- a/src/magnoliapitch/control/lease.py
+++ b/src/magnoliapitch/control/lease.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.control.timing import MIN_CLOCK_RATE_RATIO
 from magnoliapitch.control.timing import LEASE_EXPIRY_MARGIN_MS
+from magnoliapitch.control.timing import MIN_CLOCK_RATE_RATIO
 
 
 if TYPE_CHECKING:
@@ -19,7 +19,9 @@
         granted has certainly expired, by this instance's clock.
     """
 
-    def __init__(self, timing: ControlTiming, inherited_leases_end_ms: int) -> None:
+    def __init__(
+        self, timing: ControlTiming, inherited_leases_end_ms: int
+    ) -> None:
         self._timing = timing
         self._inherited_leases_end_ms = inherited_leases_end_ms
         self._clock_ms: int | None = None
@@ -53,7 +55,9 @@
         :raises ValueError: if no answer has told the worker's clock.
         """
         if self._clock_ms is None:
-            raise ValueError("no lease can be granted: the worker's clock is not known")
+            raise ValueError(
+                "no lease can be granted: the worker's clock is not known"
+            )
         elapsed_ms = now_ms - self._received_ms
         deadline_ms = self._clock_ms + elapsed_ms + self._timing.lease_ms
         self._deadline_ms = max(self._deadline_ms, deadline_ms)
@@ -66,6 +70,15 @@
         """
         if self._clock_ms is None or not self._deadline_ms:
             return self._inherited_leases_end_ms
-        remaining_ms = (self._deadline_ms - self._clock_ms) / MIN_CLOCK_RATE_RATIO
-        granted_end_ms = self._received_ms + int(remaining_ms) + LEASE_EXPIRY_MARGIN_MS
-        return max(granted_end_ms, self._inherited_leases_end_ms if self._sent_ms == 0 else granted_end_ms)
+        remaining_ms = (
+            self._deadline_ms - self._clock_ms
+        ) / MIN_CLOCK_RATE_RATIO
+        granted_end_ms = (
+            self._received_ms + int(remaining_ms) + LEASE_EXPIRY_MARGIN_MS
+        )
+        return max(
+            granted_end_ms,
+            self._inherited_leases_end_ms
+            if self._sent_ms == 0
+            else granted_end_ms,
+        )
--- a/src/magnoliapitch/control/lease_renewer.py
+++ b/src/magnoliapitch/control/lease_renewer.py
@@ -72,7 +72,9 @@
     def acknowledge(self, sequence: int) -> None:
         """Let the worker drop ended runs up to a sequence number."""
         with self._condition:
-            self._acknowledged_sequence = max(self._acknowledged_sequence, sequence)
+            self._acknowledged_sequence = max(
+                self._acknowledged_sequence, sequence
+            )
             self._condition.notify_all()
 
     def _run(self) -> None:
@@ -104,12 +106,19 @@
         if isinstance(outcome, Err):
             return self._pacing.record_unanswered(now_ms)
         for end in outcome.ok_value.ended:
-            self._last_end_sequence = max(self._last_end_sequence, end.sequence)
-        return self._pacing.record_answered(lease_granted=deadline_ms is not None)
+            self._last_end_sequence = max(
+                self._last_end_sequence, end.sequence
+            )
+        return self._pacing.record_answered(
+            lease_granted=deadline_ms is not None
+        )
 
     def _wait_for_acknowledgement(self) -> None:
         with self._condition:
-            if self._acknowledged_sequence < self._last_end_sequence and not self._is_stopped:
+            if (
+                self._acknowledged_sequence < self._last_end_sequence
+                and not self._is_stopped
+            ):
                 self._condition.wait(MAX_ACKNOWLEDGE_WAIT_MS / 1000)
 
     def _pause(self, duration_ms: int) -> None:
--- a/src/magnoliapitch/control/order_issuer.py
+++ b/src/magnoliapitch/control/order_issuer.py
@@ -150,7 +150,9 @@
         )
 
 
-def _is_ticket_expired(planned: PlannedStart, run: TrackedRun, now_ms: int) -> bool:
+def _is_ticket_expired(
+    planned: PlannedStart, run: TrackedRun, now_ms: int
+) -> bool:
     if not planned.ticket:
         return False
     ticket = run.task.step.tickets_by_worker.get(planned.worker_id)
--- a/src/magnoliapitch/control/progress_batcher.py
+++ b/src/magnoliapitch/control/progress_batcher.py
@@ -93,7 +93,11 @@
         :param has_starts: whether start orders wait for the batch.
         """
         is_quiet = now_ms - self._published_ms < HEARTBEAT_INTERVAL_MS
-        has_news = has_starts or self._state.unsaved_job_ids or self._unpublished_job_ids
+        has_news = (
+            has_starts
+            or self._state.unsaved_job_ids
+            or self._unpublished_job_ids
+        )
         if is_quiet and not has_news:
             return None
         batch = Batch(self._progress_records(), self._state_records(now_ms))
@@ -103,7 +107,10 @@
 
     def record_stored(self, now_ms: int) -> None:
         """Record that the last batch was stored."""
-        stored, self._progress_in_commit_by_id = self._progress_in_commit_by_id, {}
+        stored, self._progress_in_commit_by_id = (
+            self._progress_in_commit_by_id,
+            {},
+        )
         for job_id, progress in stored.items():
             if progress.outcome is not JobOutcome.OPEN:
                 self._finished_job_ids.add(job_id)
@@ -122,7 +129,10 @@
         }
         self._state.unsaved_job_ids.clear()
         return (
-            *(KeyedRecord(PROGRESS_PREFIX + job_id, b"") for job_id in removed),
+            *(
+                KeyedRecord(PROGRESS_PREFIX + job_id, b"")
+                for job_id in removed
+            ),
             *(
                 KeyedRecord(
                     PROGRESS_PREFIX + job_id, encode_progress(progress)
@@ -139,7 +149,8 @@
         removed = [
             job_id
             for job_id in self._finished_job_ids
-            if job_id not in self._state.unsaved_job_ids and not self._has_runs(job_id)
+            if job_id not in self._state.unsaved_job_ids
+            and not self._has_runs(job_id)
         ]
         for job_id in removed:
             self._finished_job_ids.discard(job_id)
@@ -155,7 +166,10 @@
         )
 
     def _state_records(self, now_ms: int) -> tuple[KeyedRecord, ...]:
-        unpublished, self._unpublished_job_ids = self._unpublished_job_ids, set()
+        unpublished, self._unpublished_job_ids = (
+            self._unpublished_job_ids,
+            set(),
+        )
         for job_id in sorted(unpublished):
             job = self._state.jobs_by_id.get(job_id)
             if job is None:
@@ -167,7 +181,10 @@
             KeyedRecord(STATE_PREFIX + job_id, shown.encode())
             for job_id, shown in self._states_in_commit_by_id.items()
         ]
-        if not records and now_ms - self._published_ms >= HEARTBEAT_INTERVAL_MS:
+        if (
+            not records
+            and now_ms - self._published_ms >= HEARTBEAT_INTERVAL_MS
+        ):
             leader = encode_leader(self._leader)
             records = [KeyedRecord(LEADER_KEY, leader)]
         return (*records, *self._expired_states(now_ms))
--- a/src/magnoliapitch/control/reachability.py
+++ b/src/magnoliapitch/control/reachability.py
@@ -88,7 +88,9 @@
     def _lease_of(self, worker_id: str) -> WorkerLease:
         lease = self._lease_by_worker.get(worker_id)
         if lease is None:
-            inherited_leases_end_ms = self._claimed_ms + self._timing.takeover_ms
+            inherited_leases_end_ms = (
+                self._claimed_ms + self._timing.takeover_ms
+            )
             lease = WorkerLease(self._timing, inherited_leases_end_ms)
             self._lease_by_worker[worker_id] = lease
         return lease
--- a/src/magnoliapitch/control/renewal_pacing.py
+++ b/src/magnoliapitch/control/renewal_pacing.py
@@ -44,7 +44,10 @@
         """Return the wait times of a renewal that starts now."""
         if self._is_first or self._consecutive_unanswered_count:
             return RenewalTiming(IMMEDIATE_WAIT_MS, ANSWER_TIMEOUT_MS)
-        if self._last_unanswered_ms is not None and now_ms - self._last_unanswered_ms < LOSSY_PERIOD_MS:
+        if (
+            self._last_unanswered_ms is not None
+            and now_ms - self._last_unanswered_ms < LOSSY_PERIOD_MS
+        ):
             return RenewalTiming(LOSSY_WAIT_MS, LOSSY_TIMEOUT_MS)
         return RenewalTiming(LONG_POLL_WAIT_MS, ANSWER_TIMEOUT_MS)
 
@@ -53,7 +56,11 @@
         self._is_first = False
         self._last_unanswered_ms = now_ms
         self._consecutive_unanswered_count += 1
-        return FIRST_PAUSE_MS if self._consecutive_unanswered_count == 1 else REPEATED_PAUSE_MS
+        return (
+            FIRST_PAUSE_MS
+            if self._consecutive_unanswered_count == 1
+            else REPEATED_PAUSE_MS
+        )
 
     def record_answered(self, *, lease_granted: bool) -> int:
         """Record an answered renewal; return the pause after it, in ms.
@@ -70,4 +77,8 @@
             self._answers_without_lease_count = 0
             return 0
         self._answers_without_lease_count += 1
-        return FIRST_PAUSE_MS if self._answers_without_lease_count == 1 else REPEATED_PAUSE_MS
+        return (
+            FIRST_PAUSE_MS
+            if self._answers_without_lease_count == 1
+            else REPEATED_PAUSE_MS
+        )
--- a/src/magnoliapitch/control/reports.py
+++ b/src/magnoliapitch/control/reports.py
@@ -40,7 +40,9 @@
 class ReportApplier:
     """Applies workers' reports to the scheduler's state."""
 
-    def __init__(self, state: SchedulerState, planner: Planner, metrics: Metrics) -> None:
+    def __init__(
+        self, state: SchedulerState, planner: Planner, metrics: Metrics
+    ) -> None:
         self._state = state
         self._planner = planner
         self._metrics = metrics
@@ -79,7 +81,10 @@
             reported_run_identities.add(id(run))
             self._state.record_running(run, running, received_ms)
         self._remove_absent_runs(worker_id, reported_run_identities, sent_ms)
-        return ReportOutcome(last_end_sequence, self._due_stops(worker_id, unexpected, received_ms))
+        return ReportOutcome(
+            last_end_sequence,
+            self._due_stops(worker_id, unexpected, received_ms),
+        )
 
     def _apply_end(self, worker_id: str, end: EndedRun, now_ms: int) -> None:
         run = self._state.run(end.task, end.run, worker_id)
@@ -123,8 +128,10 @@
         self, worker_id: str, reported_run_identities: set[int], sent_ms: int
     ) -> None:
         """Remove runs that the worker would report if they were active."""
-        for run in list(self._state.worker(worker_id).runs):
-            if id(run) not in reported_run_identities and _is_certainly_absent(run, sent_ms):
+        for run in list(self._state.get_or_add_worker(worker_id).runs):
+            if id(run) not in reported_run_identities and _is_certainly_absent(
+                run, sent_ms
+            ):
                 log_event(
                     "run-absent",
                     job=run.task.key.job_id,
--- a/src/magnoliapitch/control/timing.py
+++ b/src/magnoliapitch/control/timing.py
@@ -30,5 +30,7 @@
 
         This is the longest silence and a whole lease on the slowest clock.
         """
-        longest_ms = (self.max_leader_silence_ms + self.lease_ms) / MIN_CLOCK_RATE_RATIO
+        longest_ms = (
+            self.max_leader_silence_ms + self.lease_ms
+        ) / MIN_CLOCK_RATE_RATIO
         return int(longest_ms) + LEASE_EXPIRY_MARGIN_MS
--- a/src/magnoliapitch/planner/candidates.py
+++ b/src/magnoliapitch/planner/candidates.py
@@ -64,11 +64,18 @@
                 self.candidates_by_id.values(),
                 key=lambda candidate: -candidate.free.cpu_millis,
             )
-        return (candidate for candidate in self._most_free_first if _is_eligible(candidate, step))
+        return (
+            candidate
+            for candidate in self._most_free_first
+            if _is_eligible(candidate, step)
+        )
 
     def permitted(self, step: TrackedStep) -> list[Candidate]:
         """Return the workers that the advisor has permitted for a step."""
-        candidates = (self.candidates_by_id.get(worker_id) for worker_id in step.permitted_worker_ids)
+        candidates = (
+            self.candidates_by_id.get(worker_id)
+            for worker_id in step.permitted_worker_ids
+        )
         return [candidate for candidate in candidates if candidate is not None]
 
 
--- a/src/magnoliapitch/planner/planner.py
+++ b/src/magnoliapitch/planner/planner.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.planner.candidates import CandidateWorkers
 from magnoliapitch.planner.candidates import Candidate
+from magnoliapitch.planner.candidates import CandidateWorkers
 from magnoliapitch.planner.candidates import free_task_count
 from magnoliapitch.planner.candidates import idle_task_count
 from magnoliapitch.planner.duration import DurationEstimator
@@ -117,11 +117,22 @@
         )
         for _, key in ranked[:MAX_STEPS_PER_ROUND]:
             planning_round.place(state.waiting_steps[key])
-        return Plan(tuple(planning_round.starts), stops, tuple(planning_round.permit_requests))
+        return Plan(
+            tuple(planning_round.starts),
+            stops,
+            tuple(planning_round.permit_requests),
+        )
 
 
 class _PlanningRound:
-    def __init__(self, state: SchedulerState, now_ms: int, max_calls: int) -> None:
+    """Collects the starts and permit requests of one round.
+
+    :param max_calls: number of advisor calls that can be started now.
+    """
+
+    def __init__(
+        self, state: SchedulerState, now_ms: int, max_calls: int
+    ) -> None:
         self.starts: list[PlannedStart] = []
         self.permit_requests: list[PlannedPermitRequest] = []
         self._now_ms = now_ms
@@ -143,17 +154,32 @@
         if is_gang and len(chosen) < step.waiting_count:
             self._prepare_gang(step, candidates)
             return
-        without_ticket = [candidate for candidate in chosen if not self._has_ticket(step, candidate)]
+        without_ticket = [
+            candidate
+            for candidate in chosen
+            if not self._has_ticket(step, candidate)
+        ]
         if without_ticket and is_gang:
-            without_ticket = self._with_spare_candidates(step, chosen, candidates)
+            without_ticket = self._with_spare_candidates(
+                step, chosen, candidates
+            )
         self._add_permit_request(step, without_ticket)
         if not chosen:
             self._ask_about_unasked(step)
         if without_ticket and is_gang:
             return
-        self._start(step, [candidate for candidate in chosen if candidate not in without_ticket])
+        self._start(
+            step,
+            [
+                candidate
+                for candidate in chosen
+                if candidate not in without_ticket
+            ],
+        )
 
-    def _prepare_gang(self, step: TrackedStep, candidates: list[Candidate]) -> None:
+    def _prepare_gang(
+        self, step: TrackedStep, candidates: list[Candidate]
+    ) -> None:
         """Renew tickets and reserve capacity for a gang that does not fit.
 
         Permits take long to get and expire soon. So the gangs that rank
@@ -162,16 +188,23 @@
         will probably fit. They can then start as soon as they fit.
         """
         self._ask_about_unasked(step)
-        if self._gangs_with_reserved_capacity >= MAX_GANGS_WITH_RESERVED_CAPACITY:
+        if (
+            self._gangs_with_reserved_capacity
+            >= MAX_GANGS_WITH_RESERVED_CAPACITY
+        ):
             return
         if not self._may_fit_when_idle(step, candidates):
             return
         self._gangs_with_reserved_capacity += 1
         if not self._has_fresh_tickets(step, candidates):
-            self._add_permit_request(step, sorted(candidates, key=_most_free_cpu_first))
+            self._add_permit_request(
+                step, sorted(candidates, key=_most_free_cpu_first)
+            )
         self._reserve_capacity(step, candidates, step.waiting_count)
 
-    def _may_fit_when_idle(self, step: TrackedStep, candidates: list[Candidate]) -> bool:
+    def _may_fit_when_idle(
+        self, step: TrackedStep, candidates: list[Candidate]
+    ) -> bool:
         """Return whether reserving capacity for a gang can be of use.
 
         A gang that has too many tasks for its permitted workers, or waits
@@ -181,7 +214,9 @@
         ready_ms = step.ready_ms if step.ready_ms is not None else self._now_ms
         if self._now_ms - ready_ms > MAX_CAPACITY_RESERVATION_MS:
             return False
-        fitting_count = sum(idle_task_count(candidate, step) for candidate in candidates)
+        fitting_count = sum(
+            idle_task_count(candidate, step) for candidate in candidates
+        )
         return fitting_count >= step.waiting_count
 
     def _reserve_capacity(
@@ -198,12 +233,20 @@
             expected_count += _expected_task_count_soon(candidate, step)
             candidate.free = NO_RESOURCES
 
-    def _has_fresh_tickets(self, step: TrackedStep, candidates: list[Candidate]) -> bool:
+    def _has_fresh_tickets(
+        self, step: TrackedStep, candidates: list[Candidate]
+    ) -> bool:
         """Return whether at least half the tickets outlast their renewal."""
-        renewal_ms = _expected_call_ms(step, min(len(candidates), MAX_WORKERS_PER_CALL))
-        min_valid_until_ms = self._now_ms + TICKET_MIN_REMAINING_MS + renewal_ms
+        renewal_ms = _expected_call_ms(
+            step, min(len(candidates), MAX_WORKERS_PER_CALL)
+        )
+        min_valid_until_ms = (
+            self._now_ms + TICKET_MIN_REMAINING_MS + renewal_ms
+        )
         fresh_count = sum(
-            step.tickets_by_worker.get(candidate.worker.worker_id, NO_TICKET)[1]
+            step.tickets_by_worker.get(candidate.worker.worker_id, NO_TICKET)[
+                1
+            ]
             >= min_valid_until_ms
             for candidate in candidates
         )
@@ -236,7 +279,10 @@
             self._add_permit_request(step, _enough_candidates(step, not_asked))
 
     def _with_spare_candidates(
-        self, step: TrackedStep, chosen: list[Candidate], candidates: list[Candidate]
+        self,
+        step: TrackedStep,
+        chosen: list[Candidate],
+        candidates: list[Candidate],
     ) -> list[Candidate]:
         """Return the workers of one advisor call for a whole gang.
 
@@ -258,17 +304,25 @@
             and len(self.permit_requests) < self._max_calls
         )
 
-    def _add_permit_request(self, step: TrackedStep, candidates: list[Candidate]) -> None:
+    def _add_permit_request(
+        self, step: TrackedStep, candidates: list[Candidate]
+    ) -> None:
         if not candidates or not self._can_call_advisor(step):
             return
-        names = dict.fromkeys(candidate.worker.worker_id for candidate in candidates)
+        names = dict.fromkeys(
+            candidate.worker.worker_id for candidate in candidates
+        )
         asked = tuple(names)[:MAX_WORKERS_PER_CALL]
         expected_call_ms = _expected_call_ms(step, len(asked))
         self.permit_requests.append(
-            PlannedPermitRequest(step.key, asked, step.job.queue.priority, expected_call_ms)
+            PlannedPermitRequest(
+                step.key, asked, step.job.queue.priority, expected_call_ms
+            )
         )
 
-    def _choose(self, step: TrackedStep, candidates: list[Candidate]) -> list[Candidate]:
+    def _choose(
+        self, step: TrackedStep, candidates: list[Candidate]
+    ) -> list[Candidate]:
         """Reserve capacity and return the worker of each task that fits.
 
         Workers without a failed run of the step come first. Next come
@@ -281,7 +335,9 @@
         count = step.waiting_count
         cpu_millis = step.reservation.cpu_millis
         fitting = [
-            candidate for candidate in candidates if candidate.free.cpu_millis >= cpu_millis
+            candidate
+            for candidate in candidates
+            if candidate.free.cpu_millis >= cpu_millis
         ]
         fitting.sort(
             key=lambda candidate: (
@@ -292,7 +348,9 @@
             )
         )
         for candidate in fitting:
-            task_count = min(count - len(chosen), free_task_count(candidate, step))
+            task_count = min(
+                count - len(chosen), free_task_count(candidate, step)
+            )
             for _ in range(task_count):
                 candidate.reserve(step.reservation)
                 chosen.append(candidate)
@@ -307,7 +365,9 @@
         if not candidates:
             return
         run_number = max(task.runs for task in step.tasks) + 1
-        for task, candidate in zip(step.startable_tasks(), candidates, strict=False):
+        for task, candidate in zip(
+            step.startable_tasks(), candidates, strict=False
+        ):
             worker_id = candidate.worker.worker_id
             number = run_number if step.spec.is_gang else task.runs + 1
             ticket = step.tickets_by_worker.get(worker_id, NO_TICKET)[0]
@@ -316,15 +376,22 @@
             )
 
 
-def _enough_candidates(step: TrackedStep, candidates: Iterable[Candidate]) -> list[Candidate]:
+def _enough_candidates(
+    step: TrackedStep, candidates: Iterable[Candidate]
+) -> list[Candidate]:
     """Return enough workers for a step to fit on those permitted of them."""
-    needed_count = CAPACITY_MARGIN_RATIO * step.waiting_count / EXPECTED_PERMITTED_SHARE
+    needed_count = (
+        CAPACITY_MARGIN_RATIO * step.waiting_count / EXPECTED_PERMITTED_SHARE
+    )
     selected: list[Candidate] = []
     fitting_count = 0
     for candidate in candidates:
         if len(selected) >= MAX_WORKERS_PER_CALL:
             break
-        if fitting_count >= needed_count and len(selected) >= MIN_WORKERS_PER_CALL:
+        if (
+            fitting_count >= needed_count
+            and len(selected) >= MIN_WORKERS_PER_CALL
+        ):
             break
         selected.append(candidate)
         fitting_count += free_task_count(candidate, step)
@@ -340,7 +407,8 @@
     free = candidate.free.cpu_millis
     free_soon = free + SOON_FREED_SHARE * (total - free)
     return max(
-        free_task_count(candidate, step), int(free_soon // max(1, step.reservation.cpu_millis))
+        free_task_count(candidate, step),
+        int(free_soon // max(1, step.reservation.cpu_millis)),
     )
 
 
--- a/src/magnoliapitch/planner/ranking.py
+++ b/src/magnoliapitch/planner/ranking.py
@@ -35,37 +35,53 @@
     latest_start_ms: float
 
 
-def rank_of(step: TrackedStep, duration_estimator: DurationEstimator, now_ms: int) -> Rank:
+def rank_of(
+    step: TrackedStep, duration_estimator: DurationEstimator, now_ms: int
+) -> Rank:
     """Return the rank of a step.
 
     The objective and the latest start are kept on the step and computed
     again after ``RANK_REFRESH_INTERVAL_MS``.
     """
     job = step.job
-    if step.latest_start_ms is None or now_ms >= step.rank_computed_ms + RANK_REFRESH_INTERVAL_MS:
+    if (
+        step.latest_start_ms is None
+        or now_ms >= step.rank_computed_ms + RANK_REFRESH_INTERVAL_MS
+    ):
         step.rank_computed_ms = now_ms
         step.objective_ms = _objective_ms(job, duration_estimator)
         step.latest_start_ms = (
-            job.known_ms + step.objective_ms - _remaining_path_ms(step, duration_estimator)
+            job.known_ms
+            + step.objective_ms
+            - _remaining_path_ms(step, duration_estimator)
         )
     latest_start_ms, objective_ms = step.latest_start_ms, step.objective_ms
     lateness = 0
     if now_ms > latest_start_ms:
-        latest_useful_start_ms = latest_start_ms + (MAX_USEFUL_COMPLETION_RATIO - 1) * objective_ms
+        latest_useful_start_ms = (
+            latest_start_ms + (MAX_USEFUL_COMPLETION_RATIO - 1) * objective_ms
+        )
         lateness = 1 if now_ms <= latest_useful_start_ms else 2
         latest_start_ms = latest_useful_start_ms
     return Rank(job.queue.priority, lateness, latest_start_ms)
 
 
-def _objective_ms(job: TrackedJob, duration_estimator: DurationEstimator) -> float:
+def _objective_ms(
+    job: TrackedJob, duration_estimator: DurationEstimator
+) -> float:
     longest_path_ms = max(
-        (_path_ms(job, number, duration_estimator) for number in _step_numbers(job)),
+        (
+            _path_ms(job, number, duration_estimator)
+            for number in _step_numbers(job)
+        ),
         default=0.0,
     )
     return job.queue.target_ms + job.queue.stretch * longest_path_ms
 
 
-def _remaining_path_ms(step: TrackedStep, duration_estimator: DurationEstimator) -> float:
+def _remaining_path_ms(
+    step: TrackedStep, duration_estimator: DurationEstimator
+) -> float:
     """Return the longest path from a step to the end of its job, in ms."""
     job = step.job
     own_ms = duration_estimator.expected_ms(step)
@@ -77,12 +93,17 @@
     return own_ms + max(dependent_paths_ms, default=0.0)
 
 
-def _path_ms(job: TrackedJob, number: int, duration_estimator: DurationEstimator) -> float:
+def _path_ms(
+    job: TrackedJob, number: int, duration_estimator: DurationEstimator
+) -> float:
     step = job.steps[0][number]
     dependency_paths_ms = [
-        _path_ms(job, dependency, duration_estimator) for dependency in step.spec.depends_on
+        _path_ms(job, dependency, duration_estimator)
+        for dependency in step.spec.depends_on
     ]
-    return duration_estimator.expected_ms(step) + max(dependency_paths_ms, default=0.0)
+    return duration_estimator.expected_ms(step) + max(
+        dependency_paths_ms, default=0.0
+    )
 
 
 def _step_numbers(job: TrackedJob) -> range:
--- a/src/magnoliapitch/planner/scheduler_state.py
+++ b/src/magnoliapitch/planner/scheduler_state.py
@@ -92,7 +92,7 @@
         self.jobs_by_id.pop(job_id, None)
         self.unsaved_job_ids.discard(job_id)
 
-    def worker(self, worker_id: str) -> TrackedWorker:
+    def get_or_add_worker(self, worker_id: str) -> TrackedWorker:
         """Return a worker, adding it if it is not known yet."""
         worker = self.workers_by_id.get(worker_id)
         if worker is None:
@@ -101,7 +101,7 @@
 
     def update_worker(self, info: WorkerInfo) -> TrackedWorker:
         """Add or update a worker from the platform's list."""
-        worker = self.worker(info.worker_id)
+        worker = self.get_or_add_worker(info.worker_id)
         worker.update(info)
         return worker
 
@@ -226,7 +226,7 @@
         """Remove a run that is certainly not active."""
         task = run.task
         task.active_runs.remove(run)
-        self.worker(run.worker_id).remove(run)
+        self.get_or_add_worker(run.worker_id).remove(run)
         self.runs_to_stop.pop(id(run), None)
         self.unsaved_job_ids.add(task.key.job_id)
         if not task.active_runs and not task.is_done:
@@ -269,7 +269,8 @@
                     task.is_done,
                     task.checkpoint,
                     tuple(
-                        Placement(run.run, run.worker_id) for run in task.active_runs
+                        Placement(run.run, run.worker_id)
+                        for run in task.active_runs
                     ),
                 )
                 for step in job.all_steps()
@@ -280,7 +281,11 @@
         )
 
     def _restore(
-        self, job: TrackedJob, key: TaskKey, task_progress: TaskProgress, now_ms: int
+        self,
+        job: TrackedJob,
+        key: TaskKey,
+        task_progress: TaskProgress,
+        now_ms: int,
     ) -> None:
         task = job.steps[key.occurrence][key.step].tasks[key.position]
         task.runs = task_progress.runs
@@ -298,7 +303,7 @@
     ) -> TrackedRun:
         run = TrackedRun(task, number, worker_id, now_ms)
         task.active_runs.append(run)
-        self.worker(worker_id).add(run)
+        self.get_or_add_worker(worker_id).add(run)
         return run
 
     def _save_checkpoint(self, task: TrackedTask, checkpoint: str) -> None:
--- a/src/magnoliapitch/planner/tracked.py
+++ b/src/magnoliapitch/planner/tracked.py
@@ -83,11 +83,11 @@
     """
 
     __slots__ = (
+        "active_runs",
         "checkpoint",
         "failures",
         "is_done",
         "key",
-        "active_runs",
         "runs",
         "step",
     )
@@ -130,17 +130,17 @@
 
     __slots__ = (
         "asked_worker_ids",
-        "in_flight_worker_ids",
-        "reservation",
-        "failed_worker_ids",
         "failed_runs",
-        "permitted_worker_ids",
+        "failed_worker_ids",
+        "in_flight_worker_ids",
         "job",
         "key",
         "latest_start_ms",
         "objective_ms",
+        "permitted_worker_ids",
         "rank_computed_ms",
         "ready_ms",
+        "reservation",
         "retry_ms",
         "spec",
         "tasks",
@@ -185,7 +185,9 @@
     def startable_tasks(self) -> list[TrackedTask]:
         """Return the tasks that are not done and have no active run."""
         return [
-            task for task in self.tasks if not task.is_done and not task.active_runs
+            task
+            for task in self.tasks
+            if not task.is_done and not task.active_runs
         ]
 
     def all_active_runs(self) -> list[TrackedRun]:
--- a/tests/control/load.py
+++ b/tests/control/load.py
@@ -167,7 +167,9 @@
             workers(worker_count),
             advisor_call_limit,
         )
-        self.simulation.actual_duration_ms = self._actual_duration_ms_by_task.__getitem__
+        self.simulation.actual_duration_ms = (
+            self._actual_duration_ms_by_task.__getitem__
+        )
         self.simulation.permitted_share_by_queue = {
             kind.name: kind.permitted_share for kind in kinds
         }
@@ -179,7 +181,10 @@
             rate = kind.submissions_per_s * self._scale * factor / 1_000
             at_ms = self._random.expovariate(rate)
             while at_ms < duration_ms:
-                self.simulation.schedule(at_ms, lambda kind=kind: self._submit(kind))  # type: ignore[misc]
+                self.simulation.schedule(
+                    at_ms,
+                    lambda kind=kind: self._submit(kind),  # type: ignore[misc]
+                )
                 at_ms += self._random.expovariate(rate)
         self.simulation.run(duration_ms)
 
@@ -221,12 +226,16 @@
             actual_duration_ms = work_ms * self._random.uniform(0.8, 1.25)
             if is_gang and position:
                 actual_duration_ms = longest_ms
-            self._actual_duration_ms_by_task[TaskKey(name, 0, 0, position)] = actual_duration_ms
+            self._actual_duration_ms_by_task[TaskKey(name, 0, 0, position)] = (
+                actual_duration_ms
+            )
             longest_ms = max(longest_ms, actual_duration_ms)
         estimate_ms = int(self._skewed(work_ms, 0.9))
         step = StepSpec(task_count, size, estimate_ms, is_gang=is_gang)
         self._kind_by_job[name] = kind
-        self._objective_ms_by_job[name] = kind.target_ms + kind.stretch * longest_ms
+        self._objective_ms_by_job[name] = (
+            kind.target_ms + kind.stretch * longest_ms
+        )
         self.simulation.submit(JobSpec(name, kind.name, "text", (step,)))
 
     def _skewed(self, mean: float, spread: float) -> float:
--- a/tests/control/simulated_effects.py
+++ b/tests/control/simulated_effects.py
@@ -9,8 +9,8 @@
 from result import Err
 from result import Ok
 
-from magnoliapitch.control.events import PermitsAnswered
 from magnoliapitch.control.events import Committed
+from magnoliapitch.control.events import PermitsAnswered
 from magnoliapitch.control.events import StartAnswered
 from magnoliapitch.control.events import StopAnswered
 from magnoliapitch.control.events import WorkerReported
@@ -91,7 +91,10 @@
         simulation = self._simulation
 
         def arrive() -> None:
-            if worker.worker_id in simulation.unreachable_worker_ids or not self._is_current():
+            if (
+                worker.worker_id in simulation.unreachable_worker_ids
+                or not self._is_current()
+            ):
                 return
             outcome = simulation.workers[worker.worker_id].stop(order)
             simulation.controller.handle_stop_answer(
@@ -134,7 +137,9 @@
         ]
         self._simulation.replica.apply({}, keys)
 
-    def request_permits(self, request: PlannedPermitRequest, timeout_ms: int) -> bool:
+    def request_permits(
+        self, request: PlannedPermitRequest, timeout_ms: int
+    ) -> bool:
         del timeout_ms
         simulation, sent_ms = self._simulation, self._simulation.now_ms
         if not simulation.begin_advisor_call():
@@ -147,7 +152,8 @@
             permitted_worker_ids = {
                 worker_id
                 for worker_id in sorted(simulation.workers)
-                if permit_choice.random() < simulation.permitted_share_of(request.step)
+                if permit_choice.random()
+                < simulation.permitted_share_of(request.step)
             }
             ticket = f"until {sent_ms + simulation.valid_ms(request.step)}"
             permits = tuple(
@@ -160,7 +166,9 @@
                     PermitsAnswered(request, Ok(permits), sent_ms)
                 )
 
-        simulation.schedule(request.expected_call_ms + NETWORK_DELAY_MS, finish)
+        simulation.schedule(
+            request.expected_call_ms + NETWORK_DELAY_MS, finish
+        )
         return True
 
     def available_advisor_calls(self) -> int:
@@ -174,14 +182,18 @@
         if worker_id not in self._renewed_worker_ids or not self._is_current():
             return
         sent_ms = simulation.now_ms
-        deadline_ms = simulation.controller.next_lease_deadline(worker_id, sent_ms)
+        deadline_ms = simulation.controller.next_lease_deadline(
+            worker_id, sent_ms
+        )
         if worker_id in simulation.unreachable_worker_ids:
             failure = not_run(FailureCode.UNAVAILABLE, "unreachable")
             self._report(worker_id, Err(failure), sent_ms)
             simulation.schedule(300, lambda: self._renew(worker_id))
             return
         worker = simulation.workers[worker_id]
-        acknowledged_sequence = self._acknowledged_sequence_by_worker.get(worker_id, 0)
+        acknowledged_sequence = self._acknowledged_sequence_by_worker.get(
+            worker_id, 0
+        )
         worker.renew_lease(self._epoch, deadline_ms, acknowledged_sequence)
 
         def answer() -> None:
@@ -190,7 +202,9 @@
                 self._renew(worker_id)
                 return
             self._report(worker_id, Ok(worker.report()), sent_ms)
-            simulation.schedule(COMMIT_DURATION_MS + 2, lambda: self._renew(worker_id))
+            simulation.schedule(
+                COMMIT_DURATION_MS + 2, lambda: self._renew(worker_id)
+            )
 
         is_answered: list[bool] = []
 
--- a/tests/control/simulated_worker.py
+++ b/tests/control/simulated_worker.py
@@ -13,8 +13,8 @@
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
-from magnoliapitch.workload.run import EndKind
 from magnoliapitch.workload.run import EndedRun
+from magnoliapitch.workload.run import EndKind
 from magnoliapitch.workload.run import RunningTask
 from magnoliapitch.workload.run import StartOrder
 from magnoliapitch.workload.run import StopOrder
@@ -61,7 +61,9 @@
         self._token = max(self._token, token)
         if deadline_ms is not None and token >= self._token:
             self._extend(deadline_ms)
-        self.ended = [end for end in self.ended if end.sequence > acknowledged_sequence]
+        self.ended = [
+            end for end in self.ended if end.sequence > acknowledged_sequence
+        ]
 
     def report(self) -> WorkerReport:
         """Return the report of active and ended runs."""
@@ -103,7 +105,9 @@
         self._highest_run_by_task[order.task] = max(highest, order.run)
         run = self.running.get(order.task)
         if run is not None and run.order.run == order.run:
-            self._simulation.schedule(100, lambda: self.end(run, EndKind.STOPPED))
+            self._simulation.schedule(
+                100, lambda: self.end(run, EndKind.STOPPED)
+            )
         return Ok(self._simulation.now_ms)
 
     def end(self, run: _Run, kind: EndKind) -> None:
@@ -116,7 +120,9 @@
         self._highest_run_by_task[key] = max(
             run.order.run, self._highest_run_by_task.get(key, 0)
         )
-        self.ended.append(EndedRun(self._last_end_sequence, key, run.order.run, kind))
+        self.ended.append(
+            EndedRun(self._last_end_sequence, key, run.order.run, kind)
+        )
         for notify in list(self.end_listeners):
             notify()
         if run.step.is_gang:
@@ -179,5 +185,7 @@
     def _percent(self, run: _Run) -> float:
         if run.working_since_ms is None or not run.duration_ms:
             return 0.0
-        share = (self._simulation.now_ms - run.working_since_ms) / run.duration_ms
+        share = (
+            self._simulation.now_ms - run.working_since_ms
+        ) / run.duration_ms
         return min(99.0, 100.0 * share)
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -15,8 +15,8 @@
 from magnoliapitch.control.controller import Controller
 from magnoliapitch.control.events import WorkersListed
 from magnoliapitch.control.timing import ControlTiming
-from magnoliapitch.ledger.records import CANCELLED
 from magnoliapitch.ledger.records import CANCEL_PREFIX
+from magnoliapitch.ledger.records import CANCELLED
 from magnoliapitch.ledger.records import JOB_PREFIX
 from magnoliapitch.ledger.records import LeaderRecord
 from magnoliapitch.ledger.records import encode_job
@@ -89,7 +89,9 @@
         self.run_fails: Callable[[TaskKey, str], bool] = lambda *_: False
         self.permitted_share = 0.5
         self.permitted_share_by_queue: dict[str, float] = {}
-        self.start_answer_is_lost: Callable[[StartOrder], bool] = lambda _: False
+        self.start_answer_is_lost: Callable[[StartOrder], bool] = lambda _: (
+            False
+        )
         self.unreachable_worker_ids: set[str] = set()
         self.store_is_unavailable = False
         self.commit_count = 0
@@ -156,7 +158,9 @@
     def permitted_share_of(self, step: StepKey) -> float:
         """Return the share of the workers that the advisor permits."""
         queue_name = self.specs[step.job_id].queue
-        return self.permitted_share_by_queue.get(queue_name, self.permitted_share)
+        return self.permitted_share_by_queue.get(
+            queue_name, self.permitted_share
+        )
 
     def submit(self, job: JobSpec) -> None:
         """Store a job and notify the controller."""
@@ -208,7 +212,9 @@
                 self.violations.append(f"{key} runs {count} times")
         for worker in self.workers.values():
             if not worker.used().fits(worker.info.capacity):
-                self.violations.append(f"{worker.info.worker_id} runs more than its capacity")
+                self.violations.append(
+                    f"{worker.info.worker_id} runs more than its capacity"
+                )
 
     def _store(self, key: str, value: bytes) -> None:
         changed = self.replica.apply({key: value}, [key])
@@ -222,7 +228,8 @@
         info_by_id = {
             worker_id: worker.info
             for worker_id, worker in self.workers.items()
-            if worker_id not in self.unreachable_worker_ids and not worker.is_gone
+            if worker_id not in self.unreachable_worker_ids
+            and not worker.is_gone
         }
         self.controller.handle_worker_list(WorkersListed(info_by_id))
         self.schedule(500, self._list_workers)
@@ -234,7 +241,9 @@
         self.schedule(ROUND_MS, self._next_round)
 
 
-def workers(count: int, capacity: Resources = LARGE_CAPACITY) -> list[WorkerInfo]:
+def workers(
+    count: int, capacity: Resources = LARGE_CAPACITY
+) -> list[WorkerInfo]:
     """Return workers in three zones and racks."""
     return [
         WorkerInfo(
--- a/tests/control/test_controller.py
+++ b/tests/control/test_controller.py
@@ -75,7 +75,9 @@
     assert simulation.violations == []
 
 
-def test_an_unreachable_worker_keeps_its_tasks_until_its_lease_expires() -> None:
+def test_an_unreachable_worker_keeps_its_tasks_until_its_lease_expires() -> (
+    None
+):
     simulation = make_simulation()
     simulation.actual_duration_ms = lambda _: 60_000.0
     simulation.submit(job("a", StepSpec(12, SIZE)))
@@ -145,7 +147,9 @@
     simulation = Simulation([queue("q", advice=advice)], workers(6))
     simulation.run(500)
     simulation.submit(job("a", StepSpec(4, SIZE)))
-    simulation.schedule(40, partial(setattr, simulation, "store_is_unavailable", True))
+    simulation.schedule(
+        40, partial(setattr, simulation, "store_is_unavailable", True)
+    )
     simulation.run(2_000)
     assert not simulation.starts
     simulation.store_is_unavailable = False
@@ -176,10 +180,14 @@
         simulation.run_fails = partial(_happens, random_source, 0.1)
         for number in range(25):
             is_gang = number % 3 == 0
-            simulation.submit(job(f"a{number}", StepSpec(4, SIZE, is_gang=is_gang)))
+            simulation.submit(
+                job(f"a{number}", StepSpec(4, SIZE, is_gang=is_gang))
+            )
             simulation.run(200)
             if number % 8 == 5:
-                simulation.unreachable_worker_ids = set(random_source.sample(sorted(simulation.workers), 2))
+                simulation.unreachable_worker_ids = set(
+                    random_source.sample(sorted(simulation.workers), 2)
+                )
             if number % 8 == 1:
                 simulation.unreachable_worker_ids = set()
             if number % 6 == 4:
@@ -235,6 +243,8 @@
     assert held_tasks
     start = PlannedStart(held_tasks[0], 1, "w000")
     replaced = Err(not_run(FailureCode.REPLACED, "another incarnation"))
-    simulation.controller.handle_start_answer(StartAnswered(start, replaced, 0, 0))
+    simulation.controller.handle_start_answer(
+        StartAnswered(start, replaced, 0, 0)
+    )
     assert "w000" not in simulation.controller.state.workers_by_id
     assert not simulation.controller.is_over
--- a/tests/control/test_lease.py
+++ b/tests/control/test_lease.py
@@ -46,5 +46,8 @@
 
 
 def test_takeover_time_covers_silence_and_the_slowest_lease() -> None:
-    longest_ms = TIMING.max_leader_silence_ms + TIMING.lease_ms / SLOWEST_CLOCK_RATE_RATIO
+    longest_ms = (
+        TIMING.max_leader_silence_ms
+        + TIMING.lease_ms / SLOWEST_CLOCK_RATE_RATIO
+    )
     assert TIMING.takeover_ms > longest_ms
--- a/tests/control/test_order_sender.py
+++ b/tests/control/test_order_sender.py
@@ -62,7 +62,9 @@
 def test_a_refused_retry_leaves_the_first_attempt_uncertain(
     code: FailureCode,
 ) -> None:
-    outcome = retry_unanswered(call_with_outcomes(LOST, Err(not_run(code, "409"))))
+    outcome = retry_unanswered(
+        call_with_outcomes(LOST, Err(not_run(code, "409")))
+    )
     assert isinstance(outcome, Err)
     assert outcome.err_value.verdict is Verdict.MAY_HAVE_RUN
     assert outcome.err_value.code is code
--- a/tests/planner/test_load_patterns.py
+++ b/tests/planner/test_load_patterns.py
@@ -46,7 +46,9 @@
 
 def test_large_gangs_and_batches_on_a_large_pool() -> None:
     """A third of an enlarged site: slow permits, gangs of 17 tasks."""
-    load = LoadGenerator(60, 0.34, advisor_call_limit=12, kinds=LARGE_CLUSTER_JOB_KINDS)
+    load = LoadGenerator(
+        60, 0.34, advisor_call_limit=12, kinds=LARGE_CLUSTER_JOB_KINDS
+    )
     load.run(8_000)
     load.simulation.run(16_000)
     assert load.earned_share() >= LARGE_CLUSTER_MIN_EARNED_SHARE
@@ -82,13 +84,17 @@
     """Small tasks compete for all free capacity; the gang needs 144 cores."""
     batches = queue("batches", 2, AdvicePolicy(20, 0.3, 2_500))
     plans = queue("plans", 1, AdvicePolicy(560, 8, 2_500))
-    simulation = Simulation([batches, plans], workers(48), advisor_call_limit=12)
+    simulation = Simulation(
+        [batches, plans], workers(48), advisor_call_limit=12
+    )
     simulation.permitted_share_by_queue = {"batches": 0.45, "plans": 0.35}
     duration_source = random.Random(1)
     actual_duration_ms_by_task: defaultdict[TaskKey, float] = defaultdict(
         lambda: 3_400 * duration_source.uniform(0.5, 1.5)
     )
-    simulation.actual_duration_ms = lambda key: actual_duration_ms_by_task[key._replace(position=0)]
+    simulation.actual_duration_ms = lambda key: actual_duration_ms_by_task[
+        key._replace(position=0)
+    ]
     small = StepSpec(10, Resources(3_500, 10_000), 3_400)
     for number in range(150):
         simulation.submit(JobSpec(f"b{number}", "batches", "text", (small,)))
@@ -107,7 +113,9 @@
         3_600_000.0 if key.job_id == "service" else 500.0
     )
     half_worker = Resources(16_000, 8_000)
-    simulation.submit(JobSpec("service", "q", "text", (StepSpec(2, half_worker),)))
+    simulation.submit(
+        JobSpec("service", "q", "text", (StepSpec(2, half_worker),))
+    )
     simulation.run(1_000)
     gang = StepSpec(2, Resources(20_000, 8_000), is_gang=True)
     simulation.submit(JobSpec("gang", "q", "text", (gang,)))
@@ -127,7 +135,9 @@
         simulation.submit(
             JobSpec(f"bad{number}", "q", "text", (StepSpec(4, size),))
         )
-        simulation.submit(JobSpec(f"a{number}", "q", "text", (StepSpec(2, size),)))
+        simulation.submit(
+            JobSpec(f"a{number}", "q", "text", (StepSpec(2, size),))
+        )
     simulation.run(20_000)
     assert len(simulation.finished) == 40
     for name, done in simulation.finished.items():
@@ -141,7 +151,9 @@
     simulation.actual_duration_ms = lambda _: 30_000.0
     size = Resources(16_000, 8_000)
     for number in range(10):
-        simulation.submit(JobSpec(f"a{number}", "q", "text", (StepSpec(4, size),)))
+        simulation.submit(
+            JobSpec(f"a{number}", "q", "text", (StepSpec(4, size),))
+        )
     simulation.run(2_000)
     for number in range(10):
         simulation.cancel(f"a{number}")
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -1,7 +1,7 @@
 from __future__ import annotations
 
-from magnoliapitch.planner import SchedulerState
 from magnoliapitch.planner import Planner
+from magnoliapitch.planner import SchedulerState
 from magnoliapitch.resource import Resources
 from magnoliapitch.workload.configuration import AdvicePolicy
 from magnoliapitch.workload.configuration import Queue
