--- a/src/magnoliapitch/control/lease.py
+++ b/src/magnoliapitch/control/lease.py
@@ -31,7 +31,7 @@
 
     @property
     def has_clock(self) -> bool:
-        """Return whether an answer has told the worker's clock."""
+        """Return whether an answer has reported the worker's clock."""
         return self._clock_ms is not None
 
     def record_clock(
@@ -52,7 +52,7 @@
     def next_deadline(self, now_ms: int) -> int:
         """Return the end of a lease that is granted now, and record it.
 
-        :raises ValueError: if no answer has told the worker's clock.
+        :raises ValueError: if no answer has reported the worker's clock.
         """
         if self._clock_ms is None:
             raise ValueError(
--- a/src/magnoliapitch/control/renewal_pacing.py
+++ b/src/magnoliapitch/control/renewal_pacing.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 
-# The worker answers at once. The first answer tells the worker's clock, which
-# a lease needs.
+# The worker answers at once. The first answer reports the worker's clock,
+# which a lease needs.
 IMMEDIATE_WAIT_MS = 0
 LONG_POLL_WAIT_MS = 1_000
 ANSWER_TIMEOUT_MS = 500
--- a/src/magnoliapitch/planner/planner.py
+++ b/src/magnoliapitch/planner/planner.py
@@ -29,10 +29,10 @@
 
 # A ticket must still be valid when the start order reaches the worker.
 TICKET_MIN_REMAINING_MS = 400
-# Limit of the advisor.
+# The advisor accepts no more workers in one call.
 MAX_WORKERS_PER_CALL = 100
-# Most of a call's time does not depend on the number of workers, so a call
-# about fewer of them saves little.
+# A large part of a call's duration does not depend on the number of workers,
+# so calls about fewer of them save little.
 MIN_WORKERS_PER_CALL = 30
 # Share of the workers in a call that the advisor is expected to permit.
 EXPECTED_PERMITTED_SHARE = 0.35
--- a/tests/control/simulated_effects.py
+++ b/tests/control/simulated_effects.py
@@ -79,7 +79,7 @@
                 simulation.schedule(ANSWER_TIMEOUT_MS, lambda: answer(lost))
                 return
             outcome = target.start(order)
-            if simulation.start_answer_is_lost(order):
+            if simulation.start_answer_lost(order):
                 lost = Err(may_have_run(FailureCode.TIMEOUT, "lost"))
                 simulation.schedule(ANSWER_TIMEOUT_MS, lambda: answer(lost))
                 return
--- a/tests/control/simulated_worker.py
+++ b/tests/control/simulated_worker.py
@@ -80,26 +80,26 @@
         """Carry out a start order."""
         now_ms = self._simulation.now_ms
         if order.token < self._token:
-            return Err(not_run(FailureCode.FENCED, "token"))
+            return Err(not_run(FailureCode.FENCED, "a higher token was seen"))
         self._token = order.token
         if order.deadline_ms <= now_ms:
-            return Err(not_run(FailureCode.EXPIRED, "late"))
+            return Err(not_run(FailureCode.EXPIRED, "the deadline has passed"))
         self._extend(order.deadline_ms)
         known = self.running.get(order.task)
         if known is not None and known.order.run == order.run:
             return Ok(now_ms)
         if order.run <= self._highest_run_by_task.get(order.task, 0):
-            return Err(not_run(FailureCode.STALE, "old"))
+            return Err(not_run(FailureCode.STALE, "the run is stale"))
         if order.ticket and now_ms > int(order.ticket.split()[-1]):
             self._simulation.expired_ticket_count += 1
-            return Err(not_run(FailureCode.TICKET, "ticket"))
+            return Err(not_run(FailureCode.TICKET, "the ticket has expired"))
         self._begin(order)
         return Ok(now_ms)
 
     def stop(self, order: StopOrder) -> Result[int, Failure]:
         """Carry out a stop order."""
         if order.token < self._token:
-            return Err(not_run(FailureCode.FENCED, "token"))
+            return Err(not_run(FailureCode.FENCED, "a higher token was seen"))
         self._token = order.token
         highest = self._highest_run_by_task.get(order.task, 0)
         self._highest_run_by_task[order.task] = max(highest, order.run)
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -70,7 +70,7 @@
     :ivar actual_duration_ms: returns the actual duration of a task; by
         default 1 s.
     :ivar run_fails: returns whether runs of a task fail on a worker.
-    :ivar start_answer_is_lost: returns whether the answer to a start order
+    :ivar start_answer_lost: returns whether the answer to a start order
         is lost although the order is carried out.
     :ivar advisor_call_limit: most advisor calls at the same time.
     """
@@ -89,9 +89,7 @@
         self.run_fails: Callable[[TaskKey, str], bool] = lambda *_: False
         self.permitted_share = 0.5
         self.permitted_share_by_queue: dict[str, float] = {}
-        self.start_answer_is_lost: Callable[[StartOrder], bool] = lambda _: (
-            False
-        )
+        self.start_answer_lost: Callable[[StartOrder], bool] = lambda _: False
         self.unreachable_worker_ids: set[str] = set()
         self.store_is_unavailable = False
         self.commit_count = 0
--- a/tests/control/test_controller.py
+++ b/tests/control/test_controller.py
@@ -67,7 +67,7 @@
 
 def test_a_lost_start_answer_never_causes_a_second_run() -> None:
     simulation = make_simulation()
-    simulation.start_answer_is_lost = lambda order: order.run == 1
+    simulation.start_answer_lost = lambda order: order.run == 1
     for number in range(8):
         simulation.submit(job(f"a{number}", StepSpec(2, SIZE)))
     simulation.run(8_000)
@@ -176,7 +176,7 @@
         simulation = make_simulation(6)
         random_source = random.Random(seed)
         simulation.actual_duration_ms = lambda key: 500.0 + 700 * key.position
-        simulation.start_answer_is_lost = partial(_happens, random_source, 0.2)
+        simulation.start_answer_lost = partial(_happens, random_source, 0.2)
         simulation.run_fails = partial(_happens, random_source, 0.1)
         for number in range(25):
             is_gang = number % 3 == 0
@@ -216,7 +216,7 @@
 def test_gang_members_that_wait_for_a_lost_member_are_stopped() -> None:
     simulation = make_simulation(3)
     simulation.submit(job("a", StepSpec(4, SIZE, is_gang=True)))
-    simulation.start_answer_is_lost = lambda order: order.run == 1
+    simulation.start_answer_lost = lambda order: order.run == 1
     simulation.run(60)
     simulation.take_over()
     simulation.run(12_000)
@@ -229,7 +229,7 @@
     simulation.run(500)
     old = simulation.controller
     start = PlannedStart(TaskKey("a", 0, 0, 0), 1, "w000")
-    fenced = Err(not_run(FailureCode.FENCED, "token"))
+    fenced = Err(not_run(FailureCode.FENCED, "a higher token was seen"))
     old.handle_start_answer(StartAnswered(start, fenced, 0, 0))
     assert old.is_over
 
--- a/tests/control/test_order_sender.py
+++ b/tests/control/test_order_sender.py
@@ -71,7 +71,7 @@
 
 
 def test_a_refused_first_attempt_is_not_retried() -> None:
-    refused = Err(not_run(FailureCode.STALE, "old"))
+    refused = Err(not_run(FailureCode.STALE, "the run is stale"))
     assert retry_unanswered(call_with_outcomes(refused)) == refused
 
 
