--- a/src/magnoliapitch/planner/scheduler_state.py
+++ b/src/magnoliapitch/planner/scheduler_state.py
@@ -333,9 +333,9 @@
 
     def _record_failed(self, task: TrackedTask, run: int) -> None:
         # Failures of several gang members in one run count once.
-        if task.step.spec.is_gang and run in task.step.failed_runs:
+        if task.step.spec.is_gang and run in task.step.failed_run_numbers:
             return
-        task.step.failed_runs.add(run)
+        task.step.failed_run_numbers.add(run)
         task.failures += 1
         self.unsaved_job_ids.add(task.key.job_id)
 
--- a/src/magnoliapitch/planner/tracked.py
+++ b/src/magnoliapitch/planner/tracked.py
@@ -117,8 +117,8 @@
     :ivar asked_worker_ids: workers that the advisor has answered about.
     :ivar failed_worker_ids: workers on which a run failed since the last
         run that was done.
-    :ivar failed_runs: numbers of the runs that have failed; the members of
-        a gang share a number.
+    :ivar failed_run_numbers: numbers of the runs that have failed; the
+        members of a gang share a number.
     :ivar unfinished_count: number of tasks that are not done.
     :ivar waiting_count: number of tasks that are not done and have no
         active run.
@@ -130,7 +130,7 @@
 
     __slots__ = (
         "asked_worker_ids",
-        "failed_runs",
+        "failed_run_numbers",
         "failed_worker_ids",
         "in_flight_worker_ids",
         "job",
@@ -167,7 +167,7 @@
         self.tickets_by_worker: dict[str, tuple[str, int]] = {}
         self.in_flight_worker_ids: frozenset[str] = frozenset()
         self.failed_worker_ids: set[str] = set()
-        self.failed_runs: set[int] = set()
+        self.failed_run_numbers: set[int] = set()
         self.latest_start_ms: float | None = None
         self.objective_ms = 0.0
         self.rank_computed_ms = 0
