--- a/src/magnoliapitch/control/effects.py
+++ b/src/magnoliapitch/control/effects.py
@@ -1,4 +1,4 @@
-"""What the controller has done by others, without waiting."""
+"""Interface to the side effects of the controller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from collections.abc import Sequence
 
     from magnoliapitch.ledger.leadership import Batch
-    from magnoliapitch.planner.plan import PlannedAsk
+    from magnoliapitch.planner.plan import PlannedPermitRequest
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.workload.run import StartOrder
     from magnoliapitch.workload.run import StopOrder
@@ -18,36 +18,44 @@
 
 
 class Effects(Protocol):
-    """Each call is answered later by an event, except where noted."""
+    """Calls that a controller makes without waiting for their outcome.
 
-    def open_link(self, worker: WorkerInfo) -> None:
-        """Renew a worker's lease from now on, again and again."""
+    The outcome of each arrives later as an event, except where noted.
+    """
 
-    def close_link(self, worker_id: str) -> None:
-        """Renew a worker's lease no more; no event follows."""
+    def start_lease_renewal(self, worker: WorkerInfo) -> None:
+        """Renew a worker's lease repeatedly; an event follows each call."""
 
-    def acknowledge(self, worker_id: str, number: int) -> None:
-        """Let a worker forget ends up to a number; no event follows."""
+    def stop_lease_renewal(self, worker_id: str) -> None:
+        """Stop renewing a worker's lease; no event follows."""
+
+    def acknowledge(self, worker_id: str, sequence: int) -> None:
+        """Let a worker drop ended runs up to a sequence number.
+
+        No event follows.
+        """
 
     def start(
         self, worker: WorkerInfo, planned: PlannedStart, order: StartOrder
     ) -> None:
         """Order a worker to start a run."""
 
-    def stop_run(self, worker: WorkerInfo, order: StopOrder) -> None:
+    def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         """Order a worker to stop a run."""
 
     def commit(self, batch: Batch) -> None:
         """Store records under the leader's epoch."""
 
-    def forget(self, job_ids: Sequence[str]) -> None:
-        """Drop stored jobs that are over; no event follows."""
+    def delete_jobs(self, job_ids: Sequence[str]) -> None:
+        """Delete stored jobs that have ended; no event follows."""
 
-    def ask(self, ask: PlannedAsk, timeout_ms: int) -> bool:
-        """Ask the advisor, unless all that can ask are busy.
+    def request_permits(
+        self, request: PlannedPermitRequest, timeout_ms: int
+    ) -> bool:
+        """Call the advisor for permits, unless every lane to it is busy.
 
-        :return: whether the call was begun and an event will follow.
+        :return: whether the call was started and an event will follow.
         """
 
-    def idle_lanes(self) -> int:
-        """Return how many calls to the advisor can be begun now."""
+    def available_advisor_calls(self) -> int:
+        """Return the number of advisor calls that can be started now."""
--- a/src/magnoliapitch/control/orders.py
+++ b/src/magnoliapitch/control/order_issuer.py
@@ -16,37 +16,38 @@
 
     from magnoliapitch.control.effects import Effects
     from magnoliapitch.metric import Metrics
-    from magnoliapitch.planner.book import Book
-    from magnoliapitch.planner.entry import RunEntry
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.planner.plan import PlannedStop
     from magnoliapitch.planner.planner import Planner
+    from magnoliapitch.planner.scheduler_state import SchedulerState
+    from magnoliapitch.planner.tracked import TrackedRun
     from magnoliapitch.verdict import Failure
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-STOP_RETRY_MS = 600
-# A worker that refused a start gets nothing for this long.
-REFUSED_PAUSE_MS = 1_500
+# An unanswered stop order is sent again after this time.
+STOP_RETRY_DELAY_MS = 600
+# A worker that refused a start gets no new runs for this long.
+REFUSED_START_BACKOFF_MS = 1_500
 
 
-class Orders:
-    """Sends orders under one epoch.
+class OrderIssuer:
+    """Issues start and stop orders under one epoch of leadership.
 
-    :ivar listed_by_id: the platform's newest list of workers.
+    :ivar info_by_worker_id: the platform's newest list of workers.
     """
 
     def __init__(
         self,
         epoch: int,
-        book: Book,
+        state: SchedulerState,
         planner: Planner,
         effects: Effects,
         metrics: Metrics,
     ) -> None:
-        self.listed_by_id: Mapping[str, WorkerInfo] = {}
+        self.info_by_worker_id: Mapping[str, WorkerInfo] = {}
         self._epoch = epoch
-        self._book = book
+        self._state = state
         self._planner = planner
         self._effects = effects
         self._metrics = metrics
@@ -54,24 +55,28 @@
     def start(
         self, planned: PlannedStart, deadline_ms: int | None, now_ms: int
     ) -> None:
-        """Order a run that is stored.
+        """Order the start of a run whose record is stored.
 
-        It is taken back if it may not be ordered any more: a slow store
-        may have outlasted the lease, or the permit.
+        The run is removed instead if it may not be started any more. For
+        example, the ticket may have expired during a slow commit, or no
+        lease may be granted any more.
+
+        :param deadline_ms: end of the worker's lease on its own clock; None
+            if no lease may be granted.
         """
-        run = self._book.run(planned.task, planned.run, planned.worker_id)
+        run = self._state.run(planned.task, planned.run, planned.worker_id)
         if run is None:
             return
         job = run.task.step.job
-        info = self.listed_by_id.get(planned.worker_id)
+        info = self.info_by_worker_id.get(planned.worker_id)
         if (
             job.outcome is not JobOutcome.OPEN
             or info is None
             or info.is_draining
             or deadline_ms is None
-            or _is_expired(planned, run, now_ms)
+            or _is_ticket_expired(planned, run, now_ms)
         ):
-            self._book.lose_run(run)
+            self._state.lose_run(run)
             return
         order = StartOrder(
             planned.task,
@@ -85,13 +90,13 @@
         self._effects.start(info, planned, order)
 
     def stop(self, stop: PlannedStop, now_ms: int) -> None:
-        """Order a stop, again if an earlier one was not answered."""
-        run = self._book.run(stop.task, stop.run, stop.worker_id)
-        info = self.listed_by_id.get(stop.worker_id)
+        """Order the stop of a run, again if an earlier order is unanswered."""
+        run = self._state.run(stop.task, stop.run, stop.worker_id)
+        info = self.info_by_worker_id.get(stop.worker_id)
         if run is None or info is None or run.stopped_ms is not None:
             return
         sent_ms = run.stop_sent_ms
-        if sent_ms is not None and now_ms - sent_ms < STOP_RETRY_MS:
+        if sent_ms is not None and now_ms - sent_ms < STOP_RETRY_DELAY_MS:
             return
         run.stop_sent_ms = now_ms
         log_event(
@@ -103,30 +108,34 @@
             worker=stop.worker_id,
             reason=stop.reason,
         )
-        self._effects.stop_run(
+        self._effects.order_stop(
             info, StopOrder(stop.task, stop.run, self._epoch)
         )
 
-    def refuse_start(
+    def undo_refused_start(
         self,
-        run: RunEntry,
+        run: TrackedRun,
         planned: PlannedStart,
         failure: Failure,
         now_ms: int,
     ) -> None:
-        """Take a start back that a worker has surely not carried out."""
+        """Undo a start that a worker has certainly not carried out.
+
+        A ticket that was refused is dropped. Other refusals, except of a
+        stale run, keep the worker from new runs for a while.
+        """
         step = run.task.step
-        self._book.lose_run(run)
+        self._state.lose_run(run)
         if failure.code is FailureCode.TICKET:
             step.tickets_by_worker.pop(planned.worker_id, None)
         elif failure.code is not FailureCode.STALE:
-            until_ms = now_ms + REFUSED_PAUSE_MS
-            self._planner.trust.avoid(planned.worker_id, until_ms)
+            until_ms = now_ms + REFUSED_START_BACKOFF_MS
+            self._planner.worker_backoff.avoid(planned.worker_id, until_ms)
 
-    def note_failed_start(
+    def record_failed_start(
         self, planned: PlannedStart, failure: Failure
     ) -> None:
-        """Log and count an order to start that failed."""
+        """Log and count a start order that failed."""
         self._metrics.count("starts_failed", failure.code.value)
         log_event(
             "start-failed",
@@ -141,8 +150,10 @@
         )
 
 
-def _is_expired(planned: PlannedStart, run: RunEntry, now_ms: int) -> bool:
+def _is_ticket_expired(
+    planned: PlannedStart, run: TrackedRun, now_ms: int
+) -> bool:
     if not planned.ticket:
         return False
-    permit = run.task.step.tickets_by_worker.get(planned.worker_id)
-    return permit is None or permit[1] < now_ms
+    ticket = run.task.step.tickets_by_worker.get(planned.worker_id)
+    return ticket is None or ticket[1] < now_ms
--- /dev/null
+++ b/src/magnoliapitch/planner/candidates.py
@@ -0,0 +1,114 @@
+"""Workers that may take tasks during one planning round."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+    from collections.abc import Iterator
+
+    from magnoliapitch.planner.tracked import TrackedStep
+    from magnoliapitch.planner.tracked import TrackedWorker
+    from magnoliapitch.resource import Resources
+    from magnoliapitch.workload.worker import WorkerInfo
+
+
+class Candidate:
+    """A worker and its free capacity during one planning round.
+
+    :ivar free: capacity that is left for the rest of the round.
+    """
+
+    __slots__ = ("free", "info", "worker")
+
+    def __init__(self, worker: TrackedWorker, info: WorkerInfo) -> None:
+        self.worker = worker
+        self.info = info
+        self.free: Resources = worker.free
+
+    def reserve(self, amount: Resources) -> None:
+        """Reserve capacity for the rest of the round."""
+        self.free = self.free.minus(amount)
+
+    def release(self, amount: Resources) -> None:
+        """Release capacity that was reserved in this round."""
+        self.free = self.free.plus(amount)
+
+
+class CandidateWorkers:
+    """Every worker that takes new tasks, with its free capacity.
+
+    :ivar candidates_by_id: candidates by worker id.
+    """
+
+    def __init__(self, workers: Iterable[TrackedWorker]) -> None:
+        self.candidates_by_id: dict[str, Candidate] = {
+            worker.worker_id: Candidate(worker, worker.info)
+            for worker in workers
+            if worker.is_usable
+            and worker.info is not None
+            and not worker.info.is_draining
+        }
+        self._most_free_first: list[Candidate] | None = None
+
+    def eligible(self, step: TrackedStep) -> Iterator[Candidate]:
+        """Return the workers that could run a step if the advisor permits.
+
+        They are ordered by the free CPU at the first call in the round,
+        the most first.
+        """
+        if self._most_free_first is None:
+            self._most_free_first = sorted(
+                self.candidates_by_id.values(),
+                key=lambda candidate: -candidate.free.cpu_millis,
+            )
+        return (
+            candidate
+            for candidate in self._most_free_first
+            if _is_eligible(candidate, step)
+        )
+
+    def permitted(self, step: TrackedStep) -> list[Candidate]:
+        """Return the workers that the advisor has permitted for a step."""
+        candidates = (
+            self.candidates_by_id.get(worker_id)
+            for worker_id in step.permitted_worker_ids
+        )
+        return [candidate for candidate in candidates if candidate is not None]
+
+
+def _is_eligible(candidate: Candidate, step: TrackedStep) -> bool:
+    return (
+        candidate.info.service == step.job.queue.service
+        and (not step.spec.label or step.spec.label in candidate.info.labels)
+        and step.reservation.fits(candidate.info.capacity)
+    )
+
+
+def free_task_count(candidate: Candidate, step: TrackedStep) -> int:
+    """Return how many tasks of a step fit a worker's free capacity."""
+    count = _task_count_within(candidate.free, step)
+    if count > 0 and step.spec.max_per_worker:
+        used = sum(run.task.step is step for run in candidate.worker.runs)
+        count = min(count, step.spec.max_per_worker - used)
+    return max(0, count)
+
+
+def idle_task_count(candidate: Candidate, step: TrackedStep) -> int:
+    """Return how many tasks of a step would fit an idle worker."""
+    count = _task_count_within(candidate.info.capacity, step)
+    return min(count, step.spec.max_per_worker or count)
+
+
+def _task_count_within(amount: Resources, step: TrackedStep) -> int:
+    reservation = step.reservation
+    count = step.spec.task_count
+    if reservation.cpu_millis:
+        count = min(count, amount.cpu_millis // reservation.cpu_millis)
+    if reservation.memory_mb:
+        count = min(count, amount.memory_mb // reservation.memory_mb)
+    if reservation.accelerators:
+        count = min(count, amount.accelerators // reservation.accelerators)
+    return count
--- /dev/null
+++ b/src/magnoliapitch/planner/tracked.py
@@ -0,0 +1,275 @@
+"""Jobs, steps, tasks, runs and workers as the scheduler tracks them."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from magnoliapitch.resource import NO_RESOURCES
+from magnoliapitch.resource import Resources
+from magnoliapitch.workload.job import StepKey
+from magnoliapitch.workload.progress import JobOutcome
+
+
+if TYPE_CHECKING:
+    from magnoliapitch.workload.configuration import Queue
+    from magnoliapitch.workload.job import JobSpec
+    from magnoliapitch.workload.job import StepSpec
+    from magnoliapitch.workload.worker import WorkerInfo
+
+
+class TrackedRun:
+    """A run that was ordered and whose end is not known.
+
+    :ivar run: number of the run among the runs of its task.
+    :ivar resources: capacity that the run reserves on its worker.
+    :ivar confirmed_ms: when the worker accepted or reported the run; None
+        before.
+    :ivar is_restored: whether the run was read from the progress that a
+        former leader stored; that leader may have ordered it or not.
+    :ivar is_stopping: whether the run is marked for stopping.
+    :ivar stop_sent_ms: when the newest stop order was sent; None before.
+    :ivar stopped_ms: when the worker accepted a stop order; None before.
+    :ivar percent: newest progress that the worker reported, 0 to 100.
+    :ivar percent_ms: when the progress last changed.
+    :ivar resumed_percent: progress in the first report; above 0 if the run
+        resumed from a checkpoint.
+    """
+
+    __slots__ = (
+        "confirmed_ms",
+        "is_restored",
+        "is_stopping",
+        "load",
+        "ordered_ms",
+        "percent",
+        "percent_ms",
+        "resources",
+        "resumed_percent",
+        "run",
+        "started_ms",
+        "stop_sent_ms",
+        "stopped_ms",
+        "task",
+        "worker_id",
+    )
+
+    def __init__(
+        self, task: TrackedTask, run: int, worker_id: str, now_ms: int
+    ) -> None:
+        self.task = task
+        self.run = run
+        self.worker_id = worker_id
+        self.resources = task.step.reservation
+        self.ordered_ms = now_ms
+        self.started_ms: int | None = None
+        self.confirmed_ms: int | None = None
+        self.is_restored = False
+        self.is_stopping = False
+        self.stop_sent_ms: int | None = None
+        self.stopped_ms: int | None = None
+        self.percent = 0.0
+        self.percent_ms = now_ms
+        self.resumed_percent = 0.0
+        self.load = 0.0
+
+
+class TrackedTask:
+    """A task and its runs.
+
+    :ivar runs: highest run number ordered so far; 0 before the first.
+    :ivar failures: number of failed runs; a failed run of a gang counts for
+        only one of its tasks.
+    :ivar active_runs: runs that were ordered and may still be active.
+    """
+
+    __slots__ = (
+        "active_runs",
+        "checkpoint",
+        "failures",
+        "is_done",
+        "key",
+        "runs",
+        "step",
+    )
+
+    def __init__(self, step: TrackedStep, position: int) -> None:
+        self.step = step
+        self.key = step.key.task(position)
+        self.runs = 0
+        self.failures = 0
+        self.is_done = False
+        self.checkpoint = ""
+        self.active_runs: list[TrackedRun] = []
+
+
+class TrackedStep:
+    """A step of one occurrence of a job.
+
+    :ivar reservation: capacity that one task reserves on a worker.
+    :ivar latest_start_ms: latest start with which the job can still
+        complete within its objective; None before it is computed.
+    :ivar objective_ms: time within which the job should complete.
+    :ivar rank_computed_ms: when ``latest_start_ms`` and ``objective_ms``
+        were computed.
+    :ivar ready_ms: when the step became ready to start, its dependencies
+        done and its occurrence due; None before.
+    :ivar permitted_worker_ids: workers that the advisor has permitted.
+    :ivar asked_worker_ids: workers that the advisor has answered about.
+    :ivar failed_worker_ids: workers on which a run failed since the last
+        run that was done.
+    :ivar failed_run_numbers: numbers of the runs that have failed; the
+        members of a gang share a number.
+    :ivar unfinished_count: number of tasks that are not done.
+    :ivar waiting_count: number of tasks that are not done and have no
+        active run.
+    :ivar tickets_by_worker: ticket and end of its validity in ms, by
+        worker id.
+    :ivar in_flight_worker_ids: workers in the advisor call that is under
+        way; empty if there is none.
+    """
+
+    __slots__ = (
+        "asked_worker_ids",
+        "failed_run_numbers",
+        "failed_worker_ids",
+        "in_flight_worker_ids",
+        "job",
+        "key",
+        "latest_start_ms",
+        "objective_ms",
+        "permitted_worker_ids",
+        "rank_computed_ms",
+        "ready_ms",
+        "reservation",
+        "retry_ms",
+        "spec",
+        "tasks",
+        "tickets_by_worker",
+        "unfinished_count",
+        "waiting_count",
+    )
+
+    def __init__(self, job: TrackedJob, occurrence: int, number: int) -> None:
+        self.job = job
+        self.key = StepKey(job.spec.job_id, occurrence, number)
+        self.spec: StepSpec = job.spec.steps[number]
+        self.reservation = _reservation(self.spec)
+        self.tasks = [
+            TrackedTask(self, position)
+            for position in range(self.spec.task_count)
+        ]
+        self.unfinished_count = self.spec.task_count
+        self.waiting_count = self.spec.task_count
+        self.ready_ms: int | None = None
+        self.retry_ms = 0
+        self.permitted_worker_ids: set[str] = set()
+        self.asked_worker_ids: set[str] = set()
+        self.tickets_by_worker: dict[str, tuple[str, int]] = {}
+        self.in_flight_worker_ids: frozenset[str] = frozenset()
+        self.failed_worker_ids: set[str] = set()
+        self.failed_run_numbers: set[int] = set()
+        self.latest_start_ms: float | None = None
+        self.objective_ms = 0.0
+        self.rank_computed_ms = 0
+
+    @property
+    def has_call_in_flight(self) -> bool:
+        """Return whether an advisor call for the step is under way."""
+        return bool(self.in_flight_worker_ids)
+
+    @property
+    def is_done(self) -> bool:
+        """Return whether every task is done."""
+        return self.unfinished_count == 0
+
+    def startable_tasks(self) -> list[TrackedTask]:
+        """Return the tasks that are not done and have no active run."""
+        return [
+            task
+            for task in self.tasks
+            if not task.is_done and not task.active_runs
+        ]
+
+    def all_active_runs(self) -> list[TrackedRun]:
+        """Return the active runs of all tasks."""
+        return [run for task in self.tasks for run in task.active_runs]
+
+
+class TrackedJob:
+    """A submitted job with the steps of all its occurrences.
+
+    :ivar known_ms: when this instance learned of the job, by its own clock.
+    :ivar outcome: final state, or ``OPEN``.
+    :ivar has_begun: whether a worker has certainly begun one of its tasks.
+    :ivar steps: the steps of each occurrence.
+    """
+
+    __slots__ = (
+        "has_begun",
+        "known_ms",
+        "outcome",
+        "queue",
+        "spec",
+        "steps",
+    )
+
+    def __init__(self, spec: JobSpec, queue: Queue, known_ms: int) -> None:
+        self.spec = spec
+        self.queue = queue
+        self.known_ms = known_ms
+        self.outcome = JobOutcome.OPEN
+        self.has_begun = False
+        self.steps = [
+            [
+                TrackedStep(self, occurrence, number)
+                for number in range(len(spec.steps))
+            ]
+            for occurrence in range(spec.occurrences)
+        ]
+
+    def all_steps(self) -> list[TrackedStep]:
+        """Return the steps of every occurrence."""
+        return [step for steps in self.steps for step in steps]
+
+
+class TrackedWorker:
+    """A worker and the runs that may be active on it.
+
+    :ivar info: newest entry in the platform's list; None before the first.
+    :ivar is_usable: whether new runs may be placed on it: it is listed,
+        answered lately and is not avoided after failures.
+    :ivar free: capacity that no run reserves.
+    """
+
+    __slots__ = ("free", "info", "is_usable", "runs", "worker_id")
+
+    def __init__(self, worker_id: str) -> None:
+        self.worker_id = worker_id
+        self.info: WorkerInfo | None = None
+        self.is_usable = False
+        self.free = NO_RESOURCES
+        self.runs: list[TrackedRun] = []
+
+    def update(self, info: WorkerInfo) -> None:
+        """Update the worker from the platform's list."""
+        self.info = info
+        used = NO_RESOURCES
+        for run in self.runs:
+            used = used.plus(run.resources)
+        self.free = info.capacity.minus(used)
+
+    def add(self, run: TrackedRun) -> None:
+        """Add a run and reserve its capacity."""
+        self.runs.append(run)
+        self.free = self.free.minus(run.resources)
+
+    def remove(self, run: TrackedRun) -> None:
+        """Remove a run and free its capacity."""
+        self.runs.remove(run)
+        self.free = self.free.plus(run.resources)
+
+
+def _reservation(spec: StepSpec) -> Resources:
+    if spec.uses_leftover:
+        return spec.resources._replace(cpu_millis=0)
+    return spec.resources
