--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -45,7 +45,7 @@
     from magnoliapitch.journal.state import JobRecord
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.ownership.claimer import Claimer
-    from magnoliapitch.ownership.hold import ZoneHold
+    from magnoliapitch.ownership.presence_lease import ZoneHold
     from magnoliapitch.worker.pool import WorkerPool
 
 
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -32,7 +32,7 @@
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.pending import Pending
     from magnoliapitch.journal.state import JobRecord
-    from magnoliapitch.ownership.hold import ZoneHold
+    from magnoliapitch.ownership.presence_lease import ZoneHold
 
 
 UNHELD_RETRY_MS = 1_000
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -13,7 +13,7 @@
 from magnoliapitch.ownership.assignment import assign
 from magnoliapitch.ownership.share import REQUEST_MAX_MS
 from magnoliapitch.ownership.share import slot_share
-from magnoliapitch.ownership.watch import ZoneWatch
+from magnoliapitch.ownership.zone_members import ZoneWatch
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/ownership/mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -7,7 +7,7 @@
 from magnoliapitch.catalogue.entry import ZoneCutAction
 from magnoliapitch.journal.record import JobMove
 from magnoliapitch.journal.record import MoveReason
-from magnoliapitch.ownership.hold import silence_ms
+from magnoliapitch.ownership.presence_lease import silence_ms
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -15,7 +15,7 @@
 from result import Err
 
 from magnoliapitch.journal.record import RequestIntent
-from magnoliapitch.request.once import OnceBook
+from magnoliapitch.request.execution_registry import OnceBook
 from magnoliapitch.request.ticket import Ticket
 from magnoliapitch.request.ticket import TicketOffice
 from magnoliapitch.verdict import Failure
--- a/src/magnoliapitch/request/gate.py
+++ b/src/magnoliapitch/request/concurrency_limiter.py
@@ -6,9 +6,9 @@
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.request.estimate import DurationEstimate
-from magnoliapitch.request.wait import RETRY_MIN_MS
-from magnoliapitch.request.wait import WaitQueue
+from magnoliapitch.request.duration_estimate import DurationEstimate
+from magnoliapitch.request.request_queue import RETRY_MIN_MS
+from magnoliapitch.request.request_queue import WaitQueue
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
-    from magnoliapitch.request.wait import Waiter
+    from magnoliapitch.request.request_queue import Waiter
 
 
 class ConcurrencyGate:
--- a/src/magnoliapitch/request/dispatcher.py
+++ b/src/magnoliapitch/request/dispatcher.py
@@ -28,8 +28,8 @@
     from magnoliapitch.clock import Clock
     from magnoliapitch.membership.instance import InstanceInfo
     from magnoliapitch.peer.link import PeerLink
-    from magnoliapitch.request.peer_choice import Candidate
-    from magnoliapitch.request.peer_choice import PeerChoice
+    from magnoliapitch.request.peer_selector import Candidate
+    from magnoliapitch.request.peer_selector import PeerChoice
     from magnoliapitch.request.slot_pool import SlotPool
 
 
--- a/src/magnoliapitch/request/limit.py
+++ b/src/magnoliapitch/request/limit.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from magnoliapitch.request.gate import ConcurrencyGate
+from magnoliapitch.request.concurrency_limiter import ConcurrencyGate
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -14,9 +14,9 @@
 from magnoliapitch.request.dispatcher import Dispatcher
 from magnoliapitch.request.dispatcher import Outcome
 from magnoliapitch.request.dispatcher import Task
-from magnoliapitch.request.fence import DispatchFence
+from magnoliapitch.request.dispatch_fence import DispatchFence
 from magnoliapitch.request.limit import RequestLimits
-from magnoliapitch.request.peer_choice import PeerChoice
+from magnoliapitch.request.peer_selector import PeerChoice
 from magnoliapitch.request.slot_pool import SlotPool
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
--- a/src/magnoliapitch/request/slot_pool.py
+++ b/src/magnoliapitch/request/slot_pool.py
@@ -13,11 +13,11 @@
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.membership.instance import InstanceState
 from magnoliapitch.peer.message import UnitLoad
-from magnoliapitch.request.estimate import DurationEstimate
+from magnoliapitch.request.duration_estimate import DurationEstimate
 from magnoliapitch.request.server_state import ServerState
-from magnoliapitch.request.wait import RETRY_MIN_MS
-from magnoliapitch.request.wait import Waiter
-from magnoliapitch.request.wait import WaitQueue
+from magnoliapitch.request.request_queue import RETRY_MIN_MS
+from magnoliapitch.request.request_queue import Waiter
+from magnoliapitch.request.request_queue import WaitQueue
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
@@ -29,7 +29,7 @@
     from magnoliapitch.clock import Clock
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.instance import InstanceInfo
-    from magnoliapitch.request.fence import DispatchFence
+    from magnoliapitch.request.dispatch_fence import DispatchFence
 
 
 class SlotPool:
--- a/tests/history/test_zone_move.py
+++ b/tests/history/test_zone_move.py
@@ -5,7 +5,7 @@
 
 from magnoliapitch.history import LeaseStarted
 from magnoliapitch.history import check_history
-from magnoliapitch.ownership.hold import MOVE_AFTER_MIN_MS
+from magnoliapitch.ownership.presence_lease import MOVE_AFTER_MIN_MS
 from tests.history.scene import Scene
 
 
--- a/tests/request/test_fence.py
+++ b/tests/request/test_dispatch_fence.py
@@ -5,7 +5,7 @@
 from magnoliapitch.clock import ManualClock
 from magnoliapitch.journal.codec import encode_record
 from magnoliapitch.journal.record import UnitClaim
-from magnoliapitch.request.fence import FENCE_MS
+from magnoliapitch.request.dispatch_fence import FENCE_MS
 from tests.request.conftest import PATIENCE_MS
 from tests.request.conftest import Shape
 
--- a/tests/request/test_once.py
+++ b/tests/request/test_execution_registry.py
@@ -10,7 +10,7 @@
 from magnoliapitch.clock import ManualClock
 from magnoliapitch.clock import MonotonicClock
 from magnoliapitch.peer.message import ForwardedAnswer
-from magnoliapitch.request.once import OnceBook
+from magnoliapitch.request.execution_registry import OnceBook
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
 from magnoliapitch.verdict import not_run
--- a/tests/request/test_wait.py
+++ b/tests/request/test_request_queue.py
@@ -2,9 +2,9 @@
 
 from magnoliapitch.catalogue.entry import CatalogueEntry
 from magnoliapitch.catalogue.entry import WorkClass
-from magnoliapitch.request.estimate import DurationEstimate
-from magnoliapitch.request.wait import Waiter
-from magnoliapitch.request.wait import WaitQueue
+from magnoliapitch.request.duration_estimate import DurationEstimate
+from magnoliapitch.request.request_queue import Waiter
+from magnoliapitch.request.request_queue import WaitQueue
 
 
 URGENT = CatalogueEntry("seat-check", "clubs", WorkClass.URGENT)
