--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -21,8 +21,8 @@
 from magnoliapitch.membership.relay import PeerRelay
 from magnoliapitch.metric import Metrics
 from magnoliapitch.ownership.claimer import Claimer
-from magnoliapitch.ownership.presence_lease import ZoneHold
-from magnoliapitch.ownership.job_mover import ZoneMover
+from magnoliapitch.ownership.presence_lease import PresenceLease
+from magnoliapitch.ownership.job_mover import JobMover
 from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
@@ -139,7 +139,7 @@
                 options_of(settings.profile, settings.weights),
             )
         )
-        self.hold = ZoneHold(
+        self.hold = PresenceLease(
             self.identity.incarnation, self.journal, self.clock
         )
         self.desk = JobDesk(self.journal, self.fleet, scheduler)
@@ -155,7 +155,7 @@
             settings.timing.lease_ttl_ms,
             self.metrics,
         )
-        self.mover = ZoneMover(
+        self.mover = JobMover(
             settings.zone, self.journal, self.claimer, self.clock
         )
         self._link = link
@@ -286,7 +286,7 @@
         self, request: ForwardedRequest
     ) -> Result[ForwardedAnswer, Failure]:
         """Execute a forwarded request."""
-        return self.router.execute_here(request)
+        return self.router.execute_forwarded(request)
 
     def read_log(self, from_offset: int, limit: int) -> LogPage:
         """Relay log records."""
--- a/src/magnoliapitch/job/channel.py
+++ b/src/magnoliapitch/job/channel.py
@@ -154,7 +154,7 @@
     def _grant(self, attempt: Attempt) -> LeaseGrant:
         view = self.fence.view
         boot_id = view.boot_id if view else ""
-        attempt.mark_sent(boot_id, self.fence.grant_ms())
+        attempt.mark_sent(boot_id, self.fence.grant_expiry_ms())
         return LeaseGrant(
             attempt.task.task_id,
             self.fence.owner.epoch,
@@ -171,7 +171,7 @@
             return None
         interval_ms = self.fence.ttl_ms // RENEWALS_PER_TTL
         self._next_renewal_ms = now_ms + interval_ms - self._jitter_ms()
-        expires_at_ms = self.fence.renewal_ms()
+        expires_at_ms = self.fence.renewal_expiry_ms()
         lease_ids = [claim.lease_id]
         for lease_id, attempt in self.attempts_by_lease.items():
             if not self._holds(attempt.task.entry, now_ms):
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -45,7 +45,7 @@
     from magnoliapitch.journal.state import JobRecord
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.ownership.claimer import Claimer
-    from magnoliapitch.ownership.presence_lease import ZoneHold
+    from magnoliapitch.ownership.presence_lease import PresenceLease
     from magnoliapitch.worker.pool import WorkerPool
 
 
@@ -68,7 +68,7 @@
         workers: WorkerPool,
         scheduler: Scheduler,
         clock: Clock,
-        hold: ZoneHold,
+        hold: PresenceLease,
         runner: CallRunner | None = None,
         lease_ttl_ms: int = LEASE_TTL_MAX_MS,
         metrics: Metrics | None = None,
@@ -84,7 +84,7 @@
         self._units_by_name: dict[str, OwnedUnit] = {}
         self._channels_by_worker: dict[str, WorkerChannel] = {}
         self._backlog = Backlog()
-        self._holds = hold.holds
+        self._holds = hold.may_keep_tasks
         self._tracker = AttemptTracker(
             journal, scheduler, self._backlog, hold, clock
         )
@@ -175,7 +175,7 @@
             unit.note_open(worker.instance_id)
 
     def _follow_units(self) -> None:
-        claims = self._claimer.owned()
+        claims = self._claimer.owned_claims()
         for name, unit in list(self._units_by_name.items()):
             claim = claims.get(name)
             if claim is None or claim.epoch != unit.claim.epoch:
@@ -270,7 +270,7 @@
                 for worker in self._fleet.of_role(InstanceRole.WORKER)
                 if worker.unit == name
             ]
-            stopped_ms = self._claimer.predecessors_stopped_ms(name)
+            stopped_ms = self._claimer.predecessors_stopped_at_ms(name)
             for job_id in unit.settle(worker_ids, stopped_ms, now_ms):
                 self._backlog.add_job(job_id)
 
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -32,7 +32,7 @@
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.pending import Pending
     from magnoliapitch.journal.state import JobRecord
-    from magnoliapitch.ownership.presence_lease import ZoneHold
+    from magnoliapitch.ownership.presence_lease import PresenceLease
 
 
 UNHELD_RETRY_MS = 1_000
@@ -50,7 +50,7 @@
         journal: Journal,
         scheduler: Scheduler,
         backlog: Backlog,
-        hold: ZoneHold,
+        hold: PresenceLease,
         clock: Clock,
     ) -> None:
         self._journal = journal
@@ -170,7 +170,7 @@
                 if attempt.state is AttemptState.ENDED:
                     continue
                 expires_at_ms = attempt.expires_at_ms
-                if channel.fence.surely_reached(expires_at_ms, now_ms):
+                if channel.fence.has_worker_clock_passed(expires_at_ms, now_ms):
                     self._end(channel, attempt, TaskOutcome.LOST, now_ms)
 
     def follow_end(
@@ -296,7 +296,7 @@
             )
 
     def _holds(self, attempt: Attempt) -> bool:
-        return self._hold.holds(attempt.task.entry, self._clock.now_ms())
+        return self._hold.may_keep_tasks(attempt.task.entry, self._clock.now_ms())
 
     def _adopt(
         self, channel: WorkerChannel, lease: LeaseView, now_ms: int
--- a/src/magnoliapitch/job/unit.py
+++ b/src/magnoliapitch/job/unit.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.ownership.fence import DRIFT_DIVISOR
+from magnoliapitch.ownership.fence import CLOCK_DRIFT_DIVISOR
 from magnoliapitch.ownership.fence import FIRST_EPOCH
 from magnoliapitch.ownership.fence import OwnerClaim
 from magnoliapitch.worker.lease import LEASE_TTL_MAX_MS
@@ -17,7 +17,7 @@
     from magnoliapitch.journal.state import JobRecord
 
 
-SILENCE_MS = LEASE_TTL_MAX_MS + LEASE_TTL_MAX_MS // DRIFT_DIVISOR + 1
+SILENCE_MS = LEASE_TTL_MAX_MS + LEASE_TTL_MAX_MS // CLOCK_DRIFT_DIVISOR + 1
 
 
 class OwnedUnit:
--- a/src/magnoliapitch/ownership/__init__.py
+++ b/src/magnoliapitch/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Ownership of racks and groups of backend servers."""
+"""Ownership of units: racks of workers and groups of backend servers."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/ownership/assignment.py
+++ b/src/magnoliapitch/ownership/assignment.py
@@ -1,4 +1,4 @@
-"""Which entry instance of a zone should own which unit."""
+"""Assignment of a zone's units to its entry instances."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
     from collections.abc import Iterable
 
 
-def assign(
+def assign_units(
     units: Iterable[str], instance_ids: Iterable[str]
 ) -> dict[str, str]:
     """Spread units over instances by rendezvous hashing with bounded load.
 
-    Every instance that knows the same members computes the same result. No
-    instance gets more than its even share, rounded up; a join or leave
-    moves few units.
+    The result depends only on the arguments, not on their order, so instances
+    that know the same members agree on it. No instance gets more than its
+    even share, rounded up. A join or leave moves few units.
 
-    :return: instance by unit; empty without instances.
+    :return: instance id by unit; empty if there are no instances.
     """
-    members = sorted(set(instance_ids))
-    names = sorted(set(units))
-    if not members:
+    sorted_ids = sorted(set(instance_ids))
+    sorted_units = sorted(set(units))
+    if not sorted_ids:
         return {}
-    room_by_member = dict.fromkeys(members, -(-len(names) // len(members)))
+    free_places_by_instance = dict.fromkeys(sorted_ids, -(-len(sorted_units) // len(sorted_ids)))
     instance_by_unit = {}
-    for unit in names:
-        open_members = [item for item in members if room_by_member[item]]
-        chosen = max(open_members, key=lambda item: _weight(unit, item))
-        room_by_member[chosen] -= 1
-        instance_by_unit[unit] = chosen
+    for unit in sorted_units:
+        candidates = [instance_id for instance_id in sorted_ids if free_places_by_instance[instance_id]]
+        owner = max(candidates, key=lambda instance_id: _rendezvous_weight(unit, instance_id))
+        free_places_by_instance[owner] -= 1
+        instance_by_unit[unit] = owner
     return instance_by_unit
 
 
-def _weight(unit: str, instance_id: str) -> tuple[int, str]:
+def _rendezvous_weight(unit: str, instance_id: str) -> tuple[int, str]:
     key = f"{unit}\0{instance_id}".encode()
     return xxhash.xxh3_64_intdigest(key), instance_id
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -1,4 +1,4 @@
-"""Claims units of the own availability zone through the log."""
+"""Claims and hands over units of the own availability zone."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from magnoliapitch.journal.record import UnitClaim
 from magnoliapitch.journal.record import UnitRelease
 from magnoliapitch.membership.instance import InstanceRole
-from magnoliapitch.ownership.assignment import assign
+from magnoliapitch.ownership.assignment import assign_units
 from magnoliapitch.ownership.share import REQUEST_MAX_MS
 from magnoliapitch.ownership.share import slot_share
-from magnoliapitch.ownership.zone_members import ZoneWatch
+from magnoliapitch.ownership.zone_members import ZoneMembers
 
 
 if TYPE_CHECKING:
@@ -27,22 +27,24 @@
 
 
 CLAIM_INTERVAL_MS = 200
-LOG_FRESH_MS = 2_000
+LOG_MAX_AGE_MS = 2_000
 TAKEOVER_AFTER_MS = 3_000
-STABLE_MS = 10_000
+MEMBERS_STABLE_MS = 10_000
 HANDOVER_INTERVAL_MS = 5_000
-SHRINK_MS = REQUEST_MAX_MS
+# Requests that were sent before a handover began have ended by then.
+GROUP_RELEASE_DELAY_MS = REQUEST_MAX_MS
 UNIT_ROLES = (InstanceRole.WORKER, InstanceRole.BACKEND_SERVER)
 
 
 class Claimer:
-    """Keeps the zone's units spread evenly over its live instances.
-
-    Free units, and those of silent owners and of earlier runs of the own
-    instance, are claimed by the instance that should own them. An owner
-    hands over to another live instance one unit at a time, once the members
-    have not changed for ``STABLE_MS``. Without a fresh read of the log
-    nothing changes.
+    """Spreads the zone's units evenly over its live instances.
+
+    Claims are records in the log. Each instance claims the units that
+    ``assign_units`` gives to it and that have no owner, an owner silent for
+    ``TAKEOVER_AFTER_MS``, or an earlier incarnation of the instance as owner.
+    An owner hands units over to their new instance one at a time, once the
+    set of live instances has not changed for ``MEMBERS_STABLE_MS``. Without a
+    complete read of the log in the last ``LOG_MAX_AGE_MS``, nothing changes.
     """
 
     def __init__(
@@ -58,21 +60,21 @@
         self._fleet = fleet
         self._membership = membership
         self._clock = clock
-        self._watch = ZoneWatch(identity.zone)
+        self._zone_members = ZoneMembers(identity.zone)
         self._lock = threading.RLock()
         self._pending_by_unit: dict[str, Pending] = {}
-        self._owned_since_by_claim: dict[tuple[str, int], int] = {}
-        self._releasing: dict[str, int] = {}
+        self._owned_since_ms_by_claim: dict[tuple[str, int], int] = {}
+        self._release_started_ms_by_unit: dict[str, int] = {}
         self._members: frozenset[str] = frozenset()
         self._members_since_ms = 0
-        self._handover_ms = 0
+        self._last_handover_ms = 0
         self._owned_offset = -1
         self._owned_by_unit: dict[str, Claim] = {}
 
     def claim_step(self) -> int:
-        """Claim and hand over units.
+        """Claim and hand over units where that is due.
 
-        :return: milliseconds until the next step.
+        :return: milliseconds until the next call.
         """
         now_ms = self._clock.now_ms()
         with self._lock:
@@ -81,8 +83,11 @@
                 self._rebalance(now_ms)
         return CLAIM_INTERVAL_MS
 
-    def owned(self) -> dict[str, Claim]:
-        """Return the own claims by unit, not to be changed."""
+    def owned_claims(self) -> dict[str, Claim]:
+        """Return this incarnation's claims by unit.
+
+        Callers must not modify the result.
+        """
         with self._journal.reading() as state:
             if self._owned_offset != state.next_offset:
                 self._owned_offset = state.next_offset
@@ -94,49 +99,54 @@
             return self._owned_by_unit
 
     def is_rack(self, unit: str) -> bool:
-        """Return whether a unit has workers."""
+        """Return whether a unit is a rack, which has workers."""
         return any(
             item.unit == unit
             for item in self._fleet.of_role(InstanceRole.WORKER)
         )
 
     def is_releasing(self, unit: str) -> bool:
-        """Return whether an owned unit is about to be handed over."""
+        """Return whether an owned unit is being handed over."""
         with self._lock:
-            return unit in self._releasing
+            return unit in self._release_started_ms_by_unit
 
     def release(self, unit: str) -> None:
-        """Give up a rack of which no grant is in flight any more."""
-        claim = self.owned().get(unit)
+        """Append the release of an owned unit with no grants in flight."""
+        claim = self.owned_claims().get(unit)
         with self._lock:
             if claim is not None and not self._is_pending(unit):
                 self._pending_by_unit[unit] = self._journal.enqueue(
                     UnitRelease(unit, claim.incarnation, claim.epoch)
                 )
 
-    def predecessors_stopped_ms(self, unit: str) -> int | None:
-        """Return since when all earlier owners are known to have stopped.
+    def predecessors_stopped_at_ms(self, unit: str) -> int | None:
+        """Return when all earlier owners were known to have stopped.
 
-        :return: local time, or nothing while one may still run.
+        :return: local monotonic time in milliseconds, or nothing while one
+            of them may still act as owner.
         """
-        claim = self.owned().get(unit)
+        claim = self.owned_claims().get(unit)
         if claim is None:
             return None
         with self._lock:
-            return self._watch.stopped_ms(claim, self._clock.now_ms())
+            return self._zone_members.stopped_at_ms(claim, self._clock.now_ms())
 
     def slot_share(self, unit: str, now_ms: int) -> Fraction:
-        """Return the part of a group's slots that may be used now."""
-        claim = self.owned().get(unit)
+        """Return the share of a group's slots that may be used now.
+
+        :param now_ms: local monotonic time.
+        :return: from 0 to 1.
+        """
+        claim = self.owned_claims().get(unit)
         if claim is None:
             return Fraction(0)
         with self._lock:
-            since_ms = self._owned_since_by_claim.get(
+            since_ms = self._owned_since_ms_by_claim.get(
                 (unit, claim.epoch), now_ms
             )
-            running = self._watch.running_predecessors(claim)
-            stopped_ms = self._watch.stopped_ms(claim, now_ms)
-            is_releasing = unit in self._releasing
+            running = self._zone_members.running_predecessors(claim)
+            stopped_at_ms = self._zone_members.stopped_at_ms(claim, now_ms)
+            is_releasing = unit in self._release_started_ms_by_unit
         read_ms = self._journal.last_read_ms
         return slot_share(
             claim,
@@ -144,20 +154,20 @@
             since_ms,
             read_ms,
             len(running),
-            stopped_ms,
+            stopped_at_ms,
             is_releasing=is_releasing,
         )
 
     def _observe(self, now_ms: int) -> None:
-        self._watch.observe(self._membership.peers(), now_ms)
-        owned = {(unit, c.epoch) for unit, c in self.owned().items()}
-        self._owned_since_by_claim = {
-            key: self._owned_since_by_claim.get(key, now_ms) for key in owned
+        self._zone_members.observe(self._membership.peers(), now_ms)
+        own_claims = {(unit, c.epoch) for unit, c in self.owned_claims().items()}
+        self._owned_since_ms_by_claim = {
+            key: self._owned_since_ms_by_claim.get(key, now_ms) for key in own_claims
         }
-        own_units = {unit for unit, _ in owned}
-        for unit in set(self._releasing) - own_units:
-            del self._releasing[unit]
-        members = self._watch.live_instances()
+        own_units = {unit for unit, _ in own_claims}
+        for unit in set(self._release_started_ms_by_unit) - own_units:
+            del self._release_started_ms_by_unit[unit]
+        members = self._zone_members.live_instances()
         if not self._membership.leaving:
             members |= {self._identity.instance_id}
         if members != self._members:
@@ -166,7 +176,7 @@
 
     def _is_log_fresh(self, now_ms: int) -> bool:
         read_ms = self._journal.last_read_ms
-        return read_ms is not None and now_ms - read_ms <= LOG_FRESH_MS
+        return read_ms is not None and now_ms - read_ms <= LOG_MAX_AGE_MS
 
     def _rebalance(self, now_ms: int) -> None:
         with self._journal.reading() as state:
@@ -176,12 +186,12 @@
                 item.unit
                 for item in self._fleet.of_role(role, self._identity.zone)
             }
-            target_by_unit = assign(units, self._members)
+            target_by_unit = assign_units(units, self._members)
             for unit, target in target_by_unit.items():
                 claim = claims_by_unit.get(unit)
-                self._consider(unit, claim, target, role, now_ms)
+                self._reconcile(unit, claim, target, role, now_ms)
 
-    def _consider(
+    def _reconcile(
         self,
         unit: str,
         claim: Claim | None,
@@ -197,20 +207,20 @@
         is_target = target == self._identity.instance_id
         if is_own:
             if not is_target:
-                self._hand_over(unit, role, now_ms)
+                self._advance_handover(unit, role, now_ms)
             return
-        if is_target and (claim is None or self._is_free(claim, now_ms)):
+        if is_target and (claim is None or self._may_take_over(claim, now_ms)):
             self._claim(unit, claim)
 
-    def _is_free(self, claim: Claim, now_ms: int) -> bool:
+    def _may_take_over(self, claim: Claim, now_ms: int) -> bool:
         if not claim.incarnation:
             return True
-        if self._watch.instance_of(claim.incarnation) == (
+        if self._zone_members.instance_id_of(claim.incarnation) == (
             self._identity.instance_id
         ):
             return True
-        silent_ms = self._watch.silent_ms(claim.incarnation, now_ms)
-        return silent_ms is not None and silent_ms >= TAKEOVER_AFTER_MS
+        silence_ms = self._zone_members.silence_ms(claim.incarnation, now_ms)
+        return silence_ms is not None and silence_ms >= TAKEOVER_AFTER_MS
 
     def _claim(self, unit: str, claim: Claim | None) -> None:
         self._pending_by_unit[unit] = self._journal.enqueue(
@@ -222,18 +232,18 @@
             )
         )
 
-    def _hand_over(self, unit: str, role: InstanceRole, now_ms: int) -> None:
-        started_ms = self._releasing.get(unit)
+    def _advance_handover(self, unit: str, role: InstanceRole, now_ms: int) -> None:
+        started_ms = self._release_started_ms_by_unit.get(unit)
         if started_ms is not None:
-            waited = now_ms - started_ms >= SHRINK_MS
-            if role is InstanceRole.BACKEND_SERVER and waited:
+            has_drained = now_ms - started_ms >= GROUP_RELEASE_DELAY_MS
+            if role is InstanceRole.BACKEND_SERVER and has_drained:
                 self.release(unit)
             return
-        is_stable = now_ms - self._members_since_ms >= STABLE_MS
-        is_next = now_ms - self._handover_ms >= HANDOVER_INTERVAL_MS
-        if is_stable and is_next:
-            self._handover_ms = now_ms
-            self._releasing[unit] = now_ms
+        is_stable = now_ms - self._members_since_ms >= MEMBERS_STABLE_MS
+        is_interval_over = now_ms - self._last_handover_ms >= HANDOVER_INTERVAL_MS
+        if is_stable and is_interval_over:
+            self._last_handover_ms = now_ms
+            self._release_started_ms_by_unit[unit] = now_ms
 
     def _is_pending(self, unit: str) -> bool:
         pending = self._pending_by_unit.get(unit)
--- a/src/magnoliapitch/ownership/fence.py
+++ b/src/magnoliapitch/ownership/fence.py
@@ -1,15 +1,17 @@
 """Fencing of successive owners of one worker by the worker's own clock.
 
-Every owner marks each worker with a claim lease of no size that carries its
-epoch, and grants only up to a bounded time after a view in which no higher
-epoch was listed. So a new owner whose claim lease has been listed for that
-time knows that every lease of an earlier owner is listed or has expired.
-
-An owner whose claim lease is not listed places it only on a view taken soon
-after it has confirmed through the log that it still owns the rack. Had a
-later owner settled by then, its claim would have been in that log; if it
-settles afterwards, the claim lease placed on that view lapses first. So an
-earlier owner never returns to a worker on which a later one has settled.
+Every owner starts a claim lease on each worker. It reserves no resources and
+carries the owner's epoch. Leases are granted only up to a bounded time after
+a view of the worker that listed no higher epoch. So when the claim lease of a
+new owner has been listed for that time, every lease of an earlier owner is
+listed as well or has expired.
+
+An owner whose claim lease is not listed starts it only on the basis of a view
+taken soon after a complete read of the log showed that it still owns the
+rack. If a later owner had settled by then, its claim would have been in the
+log. If a later owner settles afterwards, the claim lease that was started on
+that view expires first. So an earlier owner never returns to a worker on
+which a later one has settled.
 """
 
 from __future__ import annotations
@@ -25,14 +27,21 @@
 
 
 CLAIM_PREFIX = "claim:"
-CONFIRM_WINDOW_MS = LEASE_TTL_MAX_MS // 2
-DRIFT_DIVISOR = 1_000  # monotonic clocks drift by less than 1/1000
+CONFIRMATION_MAX_AGE_MS = LEASE_TTL_MAX_MS // 2
+CLOCK_DRIFT_DIVISOR = 1_000  # monotonic clocks drift by less than 1/1000
 FIRST_EPOCH = 1
 NEVER_MS = 2**62
 
 
 class FencePhase(StrEnum):
-    """What an owner may do on a worker."""
+    """What an owner may do on a worker.
+
+    - ``UNKNOWN``: the worker has not replied yet.
+    - ``UNCLAIMED``: the owner's claim lease is not listed.
+    - ``SETTLING``: leases of earlier owners may still appear in the list.
+    - ``OPEN``: every lease is listed, so free resources may be granted.
+    - ``YIELDED``: a lease with a higher epoch is listed.
+    """
 
     UNKNOWN = "unknown"
     UNCLAIMED = "unclaimed"
@@ -42,11 +51,11 @@
 
 
 class OwnerClaim(NamedTuple):
-    """The claim on a rack for which a fence stands.
+    """A claim on a rack, as far as a fence has to know it.
 
-    :param incarnation: the owner.
-    :param epoch: epoch of the claim, from the order of the log.
-    :param after_release: whether the owner before released the rack, which
+    :param incarnation: incarnation of the owner.
+    :param epoch: epoch of the claim; the log's order makes it increase.
+    :param after_release: whether the previous owner released the rack, which
         it does only when none of its grants is in flight.
     """
 
@@ -56,16 +65,19 @@
 
 
 class WorkerFence(NamedTuple):
-    """What one owner knows of one worker; replies come in call order.
+    """Immutable state of the fencing between one owner and one worker.
 
-    :param ttl_ms: time after a view for which leases are granted.
-    :param fences_epochs: whether the worker refuses lower epochs itself.
+    The worker's replies must be observed in the order of the calls.
+
+    :param owner: claim of the owner.
+    :param ttl_ms: how long after a view granted leases may last.
+    :param fences_epochs: whether the worker itself refuses lower epochs.
     :param view: newest view of the worker.
-    :param received_ms: local time at which that view arrived.
-    :param claim: own claim lease in that view.
-    :param settled_at_ms: worker time from which all that earlier owners
-        have granted is listed.
-    :param placements: claim leases sent so far.
+    :param received_ms: local monotonic time at which that view arrived.
+    :param claim: the owner's claim lease in that view, if it is listed.
+    :param settled_at_ms: time of the worker's clock from which every lease
+        granted by earlier owners is listed.
+    :param placed_claim_count: number of claim leases created so far.
     """
 
     owner: OwnerClaim
@@ -75,14 +87,14 @@
     received_ms: int = 0
     claim: LeaseView | None = None
     settled_at_ms: int = NEVER_MS
-    placements: int = 0
+    placed_claim_count: int = 0
 
     @property
     def phase(self) -> FencePhase:
-        """What the owner may do now."""
+        """What the owner may do on the worker now."""
         if self.view is None:
             return FencePhase.UNKNOWN
-        if _shows_higher(self.view, self.owner.epoch):
+        if _has_higher_epoch(self.view, self.owner.epoch):
             return FencePhase.YIELDED
         if self.claim is None:
             return FencePhase.UNCLAIMED
@@ -92,76 +104,90 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether everything that is not listed is free."""
+        """Whether all resources without a listed lease are free."""
         return self.phase is FencePhase.OPEN
 
     def observe(self, view: WorkerView, received_ms: int) -> WorkerFence:
-        """Take in a reply of the worker."""
+        """Return the state after a reply of the worker.
+
+        A view older than the newest one of the same boot is ignored.
+
+        :param received_ms: local monotonic time at which it arrived.
+        """
         restarted = self.view is None or self.view.boot_id != view.boot_id
         if not restarted and self.view and view.now_ms < self.view.now_ms:
             return self
-        seen = self._replace(view=view, received_ms=received_ms)
-        if _shows_higher(view, self.owner.epoch):
-            return seen._replace(claim=None, settled_at_ms=NEVER_MS)
-        return seen._with_claim(None if restarted else self.claim)
+        updated = self._replace(view=view, received_ms=received_ms)
+        if _has_higher_epoch(view, self.owner.epoch):
+            return updated._replace(claim=None, settled_at_ms=NEVER_MS)
+        return updated._with_claim(None if restarted else self.claim)
 
     def may_place_claim(self, confirmed_ms: int | None) -> bool:
-        """Return whether the claim lease may be placed.
+        """Return whether the claim lease may be started now.
 
-        :param confirmed_ms: local start of a complete read of the log
-            that showed the own claim as the current one.
+        :param confirmed_ms: local monotonic time at which the newest complete
+            read of the log began, if it showed the owner's claim as the
+            current one.
         """
         if self.phase is not FencePhase.UNCLAIMED or confirmed_ms is None:
             return False
-        return self.received_ms - confirmed_ms < CONFIRM_WINDOW_MS
+        return self.received_ms - confirmed_ms < CONFIRMATION_MAX_AGE_MS
 
     def place_claim(self) -> tuple[WorkerFence, LeaseGrant]:
-        """Return the claim lease to start, under an id of its own.
+        """Return a new claim lease, with an unused id, and the next state.
 
-        Call only when :meth:`may_place_claim` holds.
+        Call only if :meth:`may_place_claim` returned true.
 
         :raises ValueError: if no view of the worker is known.
         """
-        placed = self._replace(placements=self.placements + 1)
-        lease_id = f"{self._claim_prefix()}{placed.placements}"
+        successor = self._replace(placed_claim_count=self.placed_claim_count + 1)
+        lease_id = f"{self._claim_prefix()}{successor.placed_claim_count}"
         grant = LeaseGrant(
             lease_id,
             self.owner.epoch,
-            self.renewal_ms(),
+            self.renewal_expiry_ms(),
             kind=LeaseKind.CLAIM,
             boot_id=self._known_view().boot_id,
         )
-        return placed, grant
+        return successor, grant
 
-    def renewal_ms(self) -> int:
-        """Return the worker time to which listed leases may be renewed.
+    def renewal_expiry_ms(self) -> int:
+        """Return the expiry that listed leases may be renewed to.
 
-        The claim lease comes first in the renewal, so that a task lease
-        is never the only one that a late message extends.
+        Renewals name the claim lease first, so that a delayed message never
+        extends task leases alone.
 
+        :return: time of the worker's clock, in milliseconds.
         :raises ValueError: if no view of the worker is known.
         """
         return self._known_view().now_ms + self.ttl_ms
 
-    def grant_ms(self) -> int:
-        """Return the worker time up to which new leases may be granted.
+    def grant_expiry_ms(self) -> int:
+        """Return the latest expiry of new leases.
 
+        :return: time of the worker's clock, in milliseconds.
         :raises ValueError: if the fence is not open.
         """
         if not self.is_open or self.claim is None:
-            raise ValueError(f"the fence is {self.phase}")
-        return min(self.renewal_ms(), self.claim.expires_at_ms)
+            raise ValueError(
+                f"no lease can be granted: the fence is {self.phase}, not open"
+            )
+        return min(self.renewal_expiry_ms(), self.claim.expires_at_ms)
+
+    def has_worker_clock_passed(self, worker_ms: int, local_ms: int) -> bool:
+        """Return whether the worker's clock has certainly passed a time.
 
-    def surely_reached(self, worker_ms: int, local_ms: int) -> bool:
-        """Return whether the worker's clock has passed a time by now.
+        The slowest clock that drift allows is assumed. After a restart of the
+        worker the result holds as well, since its leases ended then.
 
-        A restart of the worker ends its leases too, so it counts as well.
+        :param worker_ms: time of the worker's clock, in milliseconds.
+        :param local_ms: local monotonic time of the question.
         """
         if self.view is None:
             return False
         elapsed_ms = local_ms - self.received_ms
-        slowest_ms = elapsed_ms - elapsed_ms // DRIFT_DIVISOR - 1
-        return self.view.now_ms + max(slowest_ms, 0) >= worker_ms
+        min_elapsed_ms = elapsed_ms - elapsed_ms // CLOCK_DRIFT_DIVISOR - 1
+        return self.view.now_ms + max(min_elapsed_ms, 0) >= worker_ms
 
     def _with_claim(self, previous: LeaseView | None) -> WorkerFence:
         own = self._own_claims()
@@ -171,10 +197,10 @@
             return self._replace(claim=None, settled_at_ms=NEVER_MS)
         newest = max(own.values(), key=lambda lease: lease.expires_at_ms)
         view = self._known_view()
-        wait_ms = 0 if self._skips_wait(view) else LEASE_TTL_MAX_MS
+        wait_ms = 0 if self._may_skip_wait(view) else LEASE_TTL_MAX_MS
         return self._replace(claim=newest, settled_at_ms=view.now_ms + wait_ms)
 
-    def _skips_wait(self, view: WorkerView) -> bool:
+    def _may_skip_wait(self, view: WorkerView) -> bool:
         if self.fences_epochs or self.owner.epoch == FIRST_EPOCH:
             return True
         return self.owner.after_release and any(
@@ -196,9 +222,9 @@
 
     def _known_view(self) -> WorkerView:
         if self.view is None:
-            raise ValueError("no view of the worker is known")
+            raise ValueError("the worker has not replied with a view yet")
         return self.view
 
 
-def _shows_higher(view: WorkerView, epoch: int) -> bool:
+def _has_higher_epoch(view: WorkerView, epoch: int) -> bool:
     return any(lease.epoch > epoch for lease in view.leases)
--- a/src/magnoliapitch/ownership/job_mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -1,4 +1,4 @@
-"""Moves jobs away from racks whose owners are cut off from the log."""
+"""Moves jobs away from racks whose owners are partitioned from the log."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from magnoliapitch.catalogue.entry import ZoneCutAction
 from magnoliapitch.journal.record import JobMove
 from magnoliapitch.journal.record import MoveReason
-from magnoliapitch.ownership.presence_lease import silence_ms
+from magnoliapitch.ownership.presence_lease import move_after_silence_ms
 
 
 if TYPE_CHECKING:
@@ -21,12 +21,16 @@
 
 
 CHECK_INTERVAL_MS = 1_000
-LOG_FRESH_MS = 2_000
-MOVES_PER_STEP = 100
+LOG_MAX_AGE_MS = 2_000
+MAX_MOVES_PER_STEP = 100
 
 
-class ZoneMover:
-    """Moves jobs of other zones to an owned rack, where the entry allows."""
+class JobMover:
+    """Moves jobs of other zones to owned racks if their entry allows it.
+
+    A job moves when its entry has ``on_zone_cut = move`` and no owner of its
+    rack has appended a presence record for long enough.
+    """
 
     def __init__(
         self, zone: str, journal: Journal, claimer: Claimer, clock: Clock
@@ -35,13 +39,17 @@
         self._journal = journal
         self._claimer = claimer
         self._clock = clock
-        self._seen_by_incarnation: dict[str, tuple[int, int]] = {}
+        # Offset of the newest presence record, and local time of its arrival.
+        self._presence_by_incarnation: dict[str, tuple[int, int]] = {}
         self._pending_by_job: dict[str, Pending] = {}
 
     def step(self) -> int:
-        """Move what may be moved; return milliseconds until the next step."""
+        """Append moves of the jobs that may be moved.
+
+        :return: milliseconds until the next call.
+        """
         now_ms = self._clock.now_ms()
-        owned = self._claimer.owned()
+        owned = self._claimer.owned_claims()
         racks = sorted(filter(self._claimer.is_rack, owned))
         self._pending_by_job = {
             job_id: pending
@@ -49,29 +57,29 @@
             if pending.outcome is None
         }
         with self._journal.reading() as state:
-            self._note_presence(state, now_ms)
-            moves = self._moves(state, racks, now_ms) if racks else []
+            self._update_presence(state, now_ms)
+            moves = self._plan_moves(state, racks, now_ms) if racks else []
         read_ms = self._journal.last_read_ms
-        if read_ms is not None and now_ms - read_ms <= LOG_FRESH_MS:
+        if read_ms is not None and now_ms - read_ms <= LOG_MAX_AGE_MS:
             for move in moves:
                 pending = self._journal.enqueue(move)
                 self._pending_by_job[move.job_id] = pending
         return CHECK_INTERVAL_MS
 
-    def _note_presence(self, state: ClusterState, now_ms: int) -> None:
+    def _update_presence(self, state: ClusterState, now_ms: int) -> None:
         seen = {}
         for incarnation, member in state.members_by_incarnation.items():
-            known = self._seen_by_incarnation.get(incarnation)
+            known = self._presence_by_incarnation.get(incarnation)
             if known is None or known[0] != member.presence_offset:
                 known = (member.presence_offset, now_ms)
             seen[incarnation] = known
-        self._seen_by_incarnation = seen
+        self._presence_by_incarnation = seen
 
-    def _moves(
+    def _plan_moves(
         self, state: ClusterState, racks: list[str], now_ms: int
     ) -> list[JobMove]:
         silent_by_unit = {
-            unit: self._silent_ms(claim, now_ms)
+            unit: self._silence_ms(claim, now_ms)
             for unit, claim in state.claims_by_unit.items()
             if claim.zone != self._zone
         }
@@ -79,10 +87,10 @@
         if not any(silent_by_unit.values()):
             return moves
         for job_id, job in state.jobs_by_id.items():
-            silent_ms = silent_by_unit.get(job.unit, 0)
+            silence_ms = silent_by_unit.get(job.unit, 0)
             if job_id in self._pending_by_job or job.is_done:
                 continue
-            if _may_move(state, job, silent_ms):
+            if _may_move(state, job, silence_ms):
                 unit = racks[len(moves) % len(racks)]
                 epoch = state.claims_by_unit[job.unit].epoch
                 moves.append(
@@ -95,27 +103,33 @@
                         state.next_offset - 1,
                     )
                 )
-            if len(moves) == MOVES_PER_STEP:
+            if len(moves) == MAX_MOVES_PER_STEP:
                 break
         return moves
 
-    def _silent_ms(self, claim: Claim, now_ms: int) -> int:
-        """Return for how long no owner of a unit has shown its presence."""
+    def _silence_ms(self, claim: Claim, now_ms: int) -> int:
+        """Return for how long no owner of a unit has appended its presence.
+
+        Owners are the current one and predecessors that have not released
+        the unit.
+
+        :return: milliseconds; 0 if no owner is a known member.
+        """
         holders = (claim.incarnation, *claim.predecessors)
         return min(
             (
-                now_ms - self._seen_by_incarnation[incarnation][1]
+                now_ms - self._presence_by_incarnation[incarnation][1]
                 for incarnation in holders
-                if incarnation in self._seen_by_incarnation
+                if incarnation in self._presence_by_incarnation
             ),
             default=0,
         )
 
 
-def _may_move(state: ClusterState, job: JobRecord, silent_ms: int) -> bool:
+def _may_move(state: ClusterState, job: JobRecord, silence_ms: int) -> bool:
     versioned = state.catalogue_by_name.get(job.spec.entry)
     if versioned is None:
         return False
     if versioned.entry.on_zone_cut is not ZoneCutAction.MOVE:
         return False
-    return silent_ms > silence_ms(versioned.entry)
+    return silence_ms > move_after_silence_ms(versioned.entry)
--- a/src/magnoliapitch/ownership/presence_lease.py
+++ b/src/magnoliapitch/ownership/presence_lease.py
@@ -1,9 +1,11 @@
-"""How long an owner that is cut from the log keeps tasks that may move.
-
-The owner appends presence records. It keeps tasks of entries with the
-action ``move`` for a bounded time after it sent the last one that it knows
-to be folded; others move a job only after they have seen no newer one for
-longer, so its leases have expired by then.
+"""Presence records that let an owner keep tasks that may be moved.
+
+Tasks of catalogue entries with ``on_zone_cut = move`` may be moved to
+another zone when their owner is partitioned from the log. The owner appends
+presence records to the log. It keeps such tasks for a bounded time after it
+sent the last record that it knows to be applied. Other zones move a job only
+after they have seen no newer record for a longer time, when the owner's
+leases have expired.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 from magnoliapitch.catalogue.entry import ZoneCutAction
 from magnoliapitch.journal.record import EntryPresence
-from magnoliapitch.ownership.fence import DRIFT_DIVISOR
+from magnoliapitch.ownership.fence import CLOCK_DRIFT_DIVISOR
 from magnoliapitch.worker.lease import LEASE_TTL_MAX_MS
 
 
@@ -28,22 +30,29 @@
 MOVE_AFTER_MIN_MS = 3 * LEASE_TTL_MAX_MS
 
 
-def silence_ms(entry: CatalogueEntry) -> int:
-    """Return how long others must have seen no presence of an owner."""
+def move_after_silence_ms(entry: CatalogueEntry) -> int:
+    """Return after which silence of an owner others may move its tasks.
+
+    :return: milliseconds without a new presence record.
+    """
     return max(entry.move_after_ms, MOVE_AFTER_MIN_MS)
 
 
-def hold_ms(entry: CatalogueEntry) -> int:
+def presence_lease_ms(entry: CatalogueEntry) -> int:
     """Return how long an owner keeps tasks after it sent its presence.
 
-    With drift r, ``(hold + TTL) / (1 - r) <= silence / (1 + r)``.
+    The owner's last lease must expire before another zone moves the task,
+    also if their clocks drift. With the drift r, the lease time follows from
+    ``(lease + TTL) / (1 - r) <= silence / (1 + r)``.
+
+    :return: milliseconds since the presence record was sent.
     """
-    silence = silence_ms(entry)
-    return silence - 2 * silence // DRIFT_DIVISOR - 1 - LEASE_TTL_MAX_MS
+    silence_ms = move_after_silence_ms(entry)
+    return silence_ms - 2 * silence_ms // CLOCK_DRIFT_DIVISOR - 1 - LEASE_TTL_MAX_MS
 
 
-class ZoneHold:
-    """The own presence in the log, for entries whose tasks may move."""
+class PresenceLease:
+    """Presence of this incarnation in the log, and what it allows."""
 
     def __init__(
         self, incarnation: str, journal: Journal, clock: Clock
@@ -56,12 +65,14 @@
         self._confirmed_ms: int | None = None
 
     def step(self) -> int:
-        """Append presence if any entry needs it.
+        """Append a presence record if one is due.
 
-        :return: milliseconds until the next step.
+        None is due unless the catalogue has an entry whose tasks may move.
+
+        :return: milliseconds until the next call.
         """
         now_ms = self._clock.now_ms()
-        self._confirm()
+        self._update_confirmed()
         if self._pending is None and self._is_due(now_ms):
             self._sent_ms = now_ms
             self._pending = self._journal.enqueue(
@@ -69,20 +80,23 @@
             )
         return CHECK_INTERVAL_MS
 
-    def holds(self, entry_name: str, now_ms: int) -> bool:
-        """Return whether tasks of an entry may be granted and renewed."""
+    def may_keep_tasks(self, entry_name: str, now_ms: int) -> bool:
+        """Return whether leases of an entry's tasks may be granted or renewed.
+
+        :param now_ms: local monotonic time.
+        """
         with self._journal.reading() as state:
             versioned = state.catalogue_by_name.get(entry_name)
         if versioned is None:
             return True
         if versioned.entry.on_zone_cut is ZoneCutAction.STAY:
             return True
-        self._confirm()
+        self._update_confirmed()
         if self._confirmed_ms is None:
             return False
-        return now_ms - self._confirmed_ms <= hold_ms(versioned.entry)
+        return now_ms - self._confirmed_ms <= presence_lease_ms(versioned.entry)
 
-    def _confirm(self) -> None:
+    def _update_confirmed(self) -> None:
         if self._pending is None or self._pending.outcome is None:
             return
         if self._pending.outcome.map_or(False, lambda item: item.applied):
--- a/src/magnoliapitch/ownership/share.py
+++ b/src/magnoliapitch/ownership/share.py
@@ -1,9 +1,9 @@
-"""How many slots of a group its owner may use while ownership moves.
+"""Share of a group's slots that its owner may use while ownership changes.
 
-Backend servers keep no leases, so owners bound themselves: an owner that
-has not confirmed its claim for ``CONFIRM_MS`` keeps to one half, and a
-successor uses the other half, and only after the earlier owner must have
-shrunk to its half.
+Backend servers keep no leases, so owners limit themselves. An owner that has
+not confirmed its claim for ``CLAIM_MAX_AGE_MS`` uses only half of the slots.
+Its successor uses the other half, and starts only when the earlier owner
+must have reduced its use to one half.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from fractions import Fraction
 from typing import TYPE_CHECKING
 
-from magnoliapitch.ownership.fence import DRIFT_DIVISOR
+from magnoliapitch.ownership.fence import CLOCK_DRIFT_DIVISOR
 from magnoliapitch.ownership.fence import FIRST_EPOCH
 
 
@@ -19,17 +19,19 @@
     from magnoliapitch.journal.state import Claim
 
 
-CONFIRM_MS = 2_000
+CLAIM_MAX_AGE_MS = 2_000
 REQUEST_MAX_MS = 10_000
+# Time after its last confirmation by which an owner uses at most half of the
+# slots, with an allowance for clock drift.
 SHRUNK_AFTER_MS = (
-    CONFIRM_MS
+    CLAIM_MAX_AGE_MS
     + REQUEST_MAX_MS
-    + (CONFIRM_MS + REQUEST_MAX_MS) // DRIFT_DIVISOR
+    + (CLAIM_MAX_AGE_MS + REQUEST_MAX_MS) // CLOCK_DRIFT_DIVISOR
 )
 
-NOTHING = Fraction(0)
-HALF = Fraction(1, 2)
-ALL = Fraction(1)
+NO_SLOTS = Fraction(0)
+HALF_OF_SLOTS = Fraction(1, 2)
+ALL_SLOTS = Fraction(1)
 
 
 def slot_share(
@@ -38,47 +40,52 @@
     owned_since_ms: int,
     read_ms: int | None,
     running_predecessors: int,
-    stopped_ms: int | None,
+    stopped_at_ms: int | None,
     *,
     is_releasing: bool = False,
 ) -> Fraction:
-    """Return the part of a group's slots that its owner may use.
+    """Return the share of a group's slots that its owner may use.
+
+    All times are local monotonic times in milliseconds.
 
     :param claim: the owner's claim.
-    :param now_ms: local time, as all times here.
-    :param owned_since_ms: when the claim was first seen.
-    :param read_ms: start of the newest complete read of the log.
-    :param running_predecessors: earlier owners that may not know of it.
-    :param stopped_ms: since when all of those have stopped.
+    :param owned_since_ms: when the owner first saw the claim in the log.
+    :param read_ms: start of the newest complete read of the log, if any.
+    :param running_predecessors: number of earlier owners that may not know
+        of the claim yet.
+    :param stopped_at_ms: when all earlier owners were known to have stopped,
+        or nothing while one may still act as owner.
     :param is_releasing: whether the owner is handing the group over.
+    :return: from 0 to 1.
     """
-    grown = _grown_share(
-        claim, now_ms, owned_since_ms, running_predecessors, stopped_ms
+    share = _share_beside_predecessors(
+        claim, now_ms, owned_since_ms, running_predecessors, stopped_at_ms
     )
-    is_confirmed = read_ms is not None and now_ms - read_ms <= CONFIRM_MS
+    is_confirmed = read_ms is not None and now_ms - read_ms <= CLAIM_MAX_AGE_MS
     if is_confirmed and not is_releasing:
-        return grown
-    return min(grown, HALF)
+        return share
+    return min(share, HALF_OF_SLOTS)
 
 
-def _grown_share(
+def _share_beside_predecessors(
     claim: Claim,
     now_ms: int,
     owned_since_ms: int,
     running_predecessors: int,
-    stopped_ms: int | None,
+    stopped_at_ms: int | None,
 ) -> Fraction:
     if claim.epoch == FIRST_EPOCH:
-        return ALL
+        return ALL_SLOTS
+    # Two earlier owners may already use one half each.
     if running_predecessors > 1:
-        return NOTHING
+        return NO_SLOTS
     has_drained = (
-        stopped_ms is not None and now_ms - stopped_ms > REQUEST_MAX_MS
+        stopped_at_ms is not None and now_ms - stopped_at_ms > REQUEST_MAX_MS
     )
     if has_drained:
-        return ALL
+        return ALL_SLOTS
     if claim.after_release and not running_predecessors:
-        return HALF
+        return HALF_OF_SLOTS
     if now_ms - owned_since_ms > SHRUNK_AFTER_MS:
-        return HALF
-    return NOTHING
+        return HALF_OF_SLOTS
+    return NO_SLOTS
--- a/src/magnoliapitch/request/__init__.py
+++ b/src/magnoliapitch/request/__init__.py
@@ -1,4 +1,4 @@
-"""Small requests: admission, routing and answers."""
+"""Admission and routing of small requests to backend servers."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -1,8 +1,10 @@
 """Runs requests with a ticket or an idempotency key at most once.
 
-Either names one incarnation, which alone dispatches the request: a ticket
-by itself, a key by the first intent in the log. Other instances forward
-to it; when it is gone the answer is ``may_have_run``, never a second run.
+Each of them belongs to one holder, the only incarnation that may dispatch
+the request. A ticket contains the incarnation that issued it; the holder of
+a key is the incarnation of the first ``RequestIntent`` for it in the log.
+Other instances forward the request to the holder. If the holder is gone,
+the caller gets ``may_have_run``, and the request is never dispatched again.
 """
 
 from __future__ import annotations
@@ -15,9 +17,9 @@
 from result import Err
 
 from magnoliapitch.journal.record import RequestIntent
-from magnoliapitch.request.execution_registry import OnceBook
+from magnoliapitch.request.execution_registry import ExecutionRegistry
 from magnoliapitch.request.ticket import Ticket
-from magnoliapitch.request.ticket import TicketOffice
+from magnoliapitch.request.ticket import TicketIssuer
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -34,22 +36,25 @@
     from magnoliapitch.peer.link import PeerLink
     from magnoliapitch.peer.message import ForwardedRequest
     from magnoliapitch.request.dispatcher import Outcome
-    from magnoliapitch.request.dispatcher import Task
+    from magnoliapitch.request.dispatcher import RoutedRequest
 
-    Dispatch = Callable[[Task], Outcome]
+    Dispatch = Callable[[RoutedRequest], Outcome]
 
 
-LOG_AWAY_MS = 3_000
+LOG_MAX_AGE_MS = 3_000
 COMMIT_TIMEOUT_MS = 2_000
-HOLDER_RETRY_MS = 1_000
-HOP_MARGIN_MS = 20
-KEY_KEPT_MS = 86_400_000
+HOLDER_RETRY_AFTER_MS = 1_000
+FORWARD_MARGIN_MS = 20  # for the way to the peer and back
+KEY_RETENTION_MS = 86_400_000
 
-_KEY = re.compile(r"[!-~]{1,255}", re.ASCII)
+_KEY_PATTERN = re.compile(r"[!-~]{1,255}", re.ASCII)
 
 
-class AtMostOnce:
-    """Decides who runs a request that must not run twice, and runs it."""
+class AtMostOnceExecutor:
+    """Runs a ticketed or keyed request, or forwards it to its holder.
+
+    :param dispatch: sends a request to a backend server.
+    """
 
     def __init__(
         self,
@@ -64,132 +69,150 @@
         self._link = link
         self._clock = clock
         self._dispatch = dispatch
-        self._own = membership.identity.incarnation
-        self._office = TicketOffice(self._own, clock)
-        self._tickets = OnceBook(clock)
-        self._keys = OnceBook(clock)
+        self._own_incarnation = membership.identity.incarnation
+        self._ticket_issuer = TicketIssuer(self._own_incarnation, clock)
+        self._ticket_executions = ExecutionRegistry(clock)
+        self._key_executions = ExecutionRegistry(clock)
 
     def issue(self, entry: str) -> Ticket:
-        """Return a ticket that this incarnation will run."""
-        return self._office.issue(entry)
+        """Return a new ticket whose holder is this incarnation.
+
+        :param entry: name of the catalogue entry that it is valid for.
+        """
+        return self._ticket_issuer.issue(entry)
 
     def dump(self) -> dict[str, int]:
-        """Return the counts of remembered requests."""
-        return {"tickets": len(self._tickets), "keys": len(self._keys)}
+        """Return the number of remembered tickets and keys."""
+        return {"tickets": len(self._ticket_executions), "keys": len(self._key_executions)}
+
+    def run_ticket(self, routed: RoutedRequest, *, is_forwarded: bool) -> Outcome:
+        """Run a request with a ticket, or forward it to the issuer.
 
-    def run_ticket(self, task: Task, *, is_forwarded: bool) -> Outcome:
-        """Run a request with a ticket, or let its issuer do it."""
-        parsed = Ticket.parse(task.request.ticket)
+        :param is_forwarded: whether a peer sent the request; it is not
+            forwarded a second time.
+        """
+        parsed = Ticket.parse(routed.request.ticket)
         if isinstance(parsed, Err):
             return parsed
         ticket = parsed.ok_value
-        if ticket.incarnation != self._own:
-            return self._forward(task, ticket.incarnation, is_forwarded)
-        refusal = self._office.check(ticket, task.entry.name)
+        if ticket.incarnation != self._own_incarnation:
+            return self._forward(routed, ticket.incarnation, is_forwarded)
+        refusal = self._ticket_issuer.check(ticket, routed.entry.name)
         if refusal is not None:
             return Err(refusal)
-        digest = _digest_of(task.request)
-        refusal = self._tickets.open(ticket.nonce, digest, ticket.expires_ms)
+        digest = _digest_of(routed.request)
+        refusal = self._ticket_executions.open(ticket.nonce, digest, ticket.expires_ms)
         if refusal is not None:
             return Err(refusal)
-        return self._tickets.run(
+        return self._ticket_executions.run(
             ticket.nonce,
             digest,
-            task.deadline_ms,
-            lambda: self._dispatch(task),
+            routed.deadline_ms,
+            lambda: self._dispatch(routed),
         )
 
-    def run_key(self, task: Task, *, is_forwarded: bool) -> Outcome:
-        """Run a request with a key, or let the holder of the key do it."""
-        request = task.request
-        if not _KEY.fullmatch(request.key):
+    def run_key(self, routed: RoutedRequest, *, is_forwarded: bool) -> Outcome:
+        """Run a request with a key, or forward it to the key's holder.
+
+        :param is_forwarded: whether a peer sent the request; this instance
+            then runs it only if its own registry has the key.
+        """
+        request = routed.request
+        if not _KEY_PATTERN.fullmatch(request.key):
             return Err(
                 not_run(
                     FailureCode.INVALID,
-                    "a key is 1 to 255 visible ASCII characters",
+                    "the idempotency key must be 1 to 255 visible ASCII "
+                    "characters",
                 )
             )
         key = f"{request.entry}/{request.key}"
         if is_forwarded:
-            return self._run_own(task, key)
-        intent = self._intent(key)
+            return self._run_as_holder(routed, key)
+        intent = self._recorded_intent(key)
         if intent is None:
-            refusal = self._intend(task, key)
+            refusal = self._append_intent(routed, key)
             if refusal is not None:
                 return Err(refusal)
-            intent = self._intent(key)
+            intent = self._recorded_intent(key)
         if intent is None:
-            return Err(_log_away("the log refused the key"))
+            return Err(_log_unavailable("the log rejected the idempotency key"))
         if intent.digest != _digest_of(request):
             return Err(
                 not_run(
                     FailureCode.CONFLICT,
-                    "the key was used before with another request",
+                    "the idempotency key was used before with another "
+                    "request body",
                 )
             )
-        if intent.incarnation == self._own:
-            return self._run_own(task, key)
-        return self._forward(task, intent.incarnation, is_forwarded)
+        if intent.incarnation == self._own_incarnation:
+            return self._run_as_holder(routed, key)
+        return self._forward(routed, intent.incarnation, is_forwarded)
 
-    def _run_own(self, task: Task, key: str) -> Outcome:
-        return self._keys.run(
+    def _run_as_holder(self, routed: RoutedRequest, key: str) -> Outcome:
+        return self._key_executions.run(
             key,
-            _digest_of(task.request),
-            task.deadline_ms,
-            lambda: self._dispatch(task),
+            _digest_of(routed.request),
+            routed.deadline_ms,
+            lambda: self._dispatch(routed),
         )
 
-    def _intent(self, key: str) -> RequestIntent | None:
+    def _recorded_intent(self, key: str) -> RequestIntent | None:
         with self._journal.reading() as state:
             return state.intents_by_key.get(key)
 
-    def _intend(self, task: Task, key: str) -> Failure | None:
-        """Append an intent; the dispatch is left to the calling thread.
+    def _append_intent(self, routed: RoutedRequest, key: str) -> Failure | None:
+        """Append an intent that makes this incarnation the key's holder.
+
+        Only the calling thread dispatches the request. If the intent is
+        applied after this method has timed out, nothing is dispatched, and
+        the key stays registered here for a later attempt.
 
-        An intent that is folded after this gave up leads to no dispatch:
-        the key stays open here for a later attempt.
+        :return: why the request cannot run, or nothing if the intent was
+            applied.
         """
         now_ms = self._clock.now_ms()
         read_ms = self._journal.last_read_ms
-        if read_ms is None or now_ms - read_ms > LOG_AWAY_MS:
-            return _log_away("the log is away")
-        digest = _digest_of(task.request)
-        refusal = self._keys.open(key, digest, now_ms + KEY_KEPT_MS)
+        if read_ms is None or now_ms - read_ms > LOG_MAX_AGE_MS:
+            return _log_unavailable(f"no complete read of the log in the last {LOG_MAX_AGE_MS} ms")
+        digest = _digest_of(routed.request)
+        refusal = self._key_executions.open(key, digest, now_ms + KEY_RETENTION_MS)
         if refusal is not None:
             return refusal
-        entry = task.request.entry
-        timeout_ms = min(COMMIT_TIMEOUT_MS, task.deadline_ms - now_ms)
+        entry = routed.request.entry
+        timeout_ms = min(COMMIT_TIMEOUT_MS, routed.deadline_ms - now_ms)
         outcome = self._journal.commit(
-            RequestIntent(key, entry, self._own, digest), timeout_ms
+            RequestIntent(key, entry, self._own_incarnation, digest), timeout_ms
         )
         if isinstance(outcome, Err):
-            return _log_away("the log has not confirmed the key")
+            return _log_unavailable(f"the log did not confirm the key within {timeout_ms} ms")
         return None
 
-    def _forward(self, task: Task, holder: str, is_forwarded: bool) -> Outcome:
-        left_ms = task.deadline_ms - self._clock.now_ms()
+    def _forward(self, routed: RoutedRequest, holder: str, is_forwarded: bool) -> Outcome:
+        remaining_ms = routed.deadline_ms - self._clock.now_ms()
         for peer in self._membership.peers():
             if peer.join.incarnation != holder or is_forwarded:
                 continue
-            request = task.request._replace(
-                timeout_ms=max(left_ms - HOP_MARGIN_MS, 1)
+            request = routed.request._replace(
+                timeout_ms=max(remaining_ms - FORWARD_MARGIN_MS, 1)
             )
             address = peer.join.peer_address
-            outcome = self._link.forward(address, request, max(left_ms, 1))
-            if not _is_unreached(outcome):
+            outcome = self._link.forward(address, request, max(remaining_ms, 1))
+            if not _is_peer_unreachable(outcome):
                 return outcome
             return Err(
                 may_have_run(
                     FailureCode.UNAVAILABLE,
-                    "the instance that may run it cannot be reached; "
-                    "an earlier attempt may have run",
-                    HOLDER_RETRY_MS,
+                    "the only instance that may run the request cannot be "
+                    "reached; an earlier attempt may have run",
+                    HOLDER_RETRY_AFTER_MS,
                 )
             )
         return Err(
             may_have_run(
                 FailureCode.EXPIRED,
-                "the instance that might have run it is gone",
+                "the only instance that may run the request is gone; "
+                "an earlier attempt may have run",
             )
         )
 
@@ -198,7 +221,7 @@
     return hashlib.sha256(request.body).hexdigest()
 
 
-def _is_unreached(outcome: Outcome) -> bool:
+def _is_peer_unreachable(outcome: Outcome) -> bool:
     if not isinstance(outcome, Err):
         return False
     failure = outcome.err_value
@@ -209,11 +232,11 @@
     )
 
 
-def _log_away(what: str) -> Failure:
+def _log_unavailable(reason: str) -> Failure:
     return not_run(
         FailureCode.UNAVAILABLE,
-        f"{what}, so this attempt was not run; nothing is said about earlier "
-        "attempts with this key. A new request can use a ticket instead "
-        "(POST /v1/tickets/ENTRY), which needs no log",
-        HOLDER_RETRY_MS,
+        f"{reason}; this attempt was not run, but earlier attempts with "
+        "this key may have run. A new request can use a ticket instead "
+        "(POST /v1/tickets/ENTRY), which does not need the log",
+        HOLDER_RETRY_AFTER_MS,
     )
--- a/src/magnoliapitch/request/dispatch_fence.py
+++ b/src/magnoliapitch/request/dispatch_fence.py
@@ -1,10 +1,10 @@
-"""Decides whether an owner may send requests to a group of servers.
+"""Decides whether an owner may send requests to a group of backend servers.
 
-Backend servers know nothing of owners, so slots stay within bounds only if
-the former owner has stopped before the next one starts. An owner that can
-neither read the log nor hear a peer of its zone stops after
-``FENCE_MS``; a new owner waits that long, and then for as long as the
-former owner's requests may last.
+Backend servers don't know who owns them, so their slots are not overbooked
+only if the former owner has stopped before the next one starts. An owner
+that can neither read the log nor hear a peer of its zone stops after
+``FENCING_TIMEOUT_MS``. A new owner waits that long, and then for as long as
+the former owner's requests may last.
 """
 
 from __future__ import annotations
@@ -24,24 +24,28 @@
     from magnoliapitch.ownership.claimer import Claimer
 
 
-FENCE_MS = 3_000
+FENCING_TIMEOUT_MS = 3_000
 
 
-class _Seen:
-    __slots__ = ("claim", "usable_ms")
+class _KnownClaim:
+    """An own claim, and the local time from which it may be used."""
 
-    def __init__(self, claim: Claim, usable_ms: int) -> None:
+    __slots__ = ("claim", "usable_from_ms")
+
+    def __init__(self, claim: Claim, usable_from_ms: int) -> None:
         self.claim = claim
-        self.usable_ms = usable_ms
+        self.usable_from_ms = usable_from_ms
+
 
+class _OwnedClaims(NamedTuple):
+    """Own claims as of a log offset."""
 
-class _Owned(NamedTuple):
     offset: int
     claims_by_unit: dict[str, Claim]
 
 
 class DispatchFence:
-    """Names the groups to which this instance may send requests."""
+    """Determines the groups to which this instance may send requests."""
 
     def __init__(
         self,
@@ -54,49 +58,50 @@
         self._claimer = claimer
         self._membership = membership
         self._clock = clock
-        self._seen_by_unit: dict[str, _Seen] = {}
-        self._owned_at: _Owned | None = None
+        self._known_by_unit: dict[str, _KnownClaim] = {}
+        self._owned_cache: _OwnedClaims | None = None
         self._lock = threading.Lock()
 
-    def units(self) -> frozenset[str]:
-        """Return the owned units that may be used now."""
+    def usable_units(self) -> frozenset[str]:
+        """Return the owned units to which requests may be sent now."""
         now_ms = self._clock.now_ms()
-        owned = self._owned()
+        owned = self._owned_claims()
         with self._lock:
-            self._note(owned, now_ms)
+            self._update_known(owned, now_ms)
             usable = frozenset(
                 unit
-                for unit, seen in self._seen_by_unit.items()
-                if seen.usable_ms <= now_ms
+                for unit, known in self._known_by_unit.items()
+                if known.usable_from_ms <= now_ms
             )
-        if not usable or not self._is_current(now_ms):
+        if not usable or not self._may_trust_claims(now_ms):
             return frozenset()
         return usable
 
-    def _owned(self) -> dict[str, Claim]:
+    def _owned_claims(self) -> dict[str, Claim]:
         with self._journal.reading() as state:
             offset = state.next_offset
-        known = self._owned_at
+        known = self._owned_cache
         if known is None or known.offset != offset:
-            known = _Owned(offset, self._claimer.owned())
-            self._owned_at = known
+            known = _OwnedClaims(offset, self._claimer.owned_claims())
+            self._owned_cache = known
         return known.claims_by_unit
 
-    def _note(self, owned: dict[str, Claim], now_ms: int) -> None:
-        for unit in set(self._seen_by_unit) - set(owned):
-            del self._seen_by_unit[unit]
+    def _update_known(self, owned: dict[str, Claim], now_ms: int) -> None:
+        for unit in set(self._known_by_unit) - set(owned):
+            del self._known_by_unit[unit]
         for unit, claim in owned.items():
-            seen = self._seen_by_unit.get(unit)
-            if seen is not None and seen.claim.epoch == claim.epoch:
+            known = self._known_by_unit.get(unit)
+            if known is not None and known.claim.epoch == claim.epoch:
                 continue
-            wait_ms = self._wait_ms(claim)
-            self._seen_by_unit[unit] = _Seen(claim, now_ms + wait_ms)
+            delay_ms = self._activation_delay_ms(claim)
+            self._known_by_unit[unit] = _KnownClaim(claim, now_ms + delay_ms)
 
-    def _wait_ms(self, claim: Claim) -> int:
+    def _activation_delay_ms(self, claim: Claim) -> int:
+        """Return how long a new claim must wait for the former owner."""
         if claim.epoch == 1:
             return 0
         with self._journal.reading() as state:
-            longest_ms = max(
+            longest_request_ms = max(
                 (
                     versioned.entry.patience_ms
                     for versioned in state.catalogue_by_name.values()
@@ -104,11 +109,11 @@
                 ),
                 default=0,
             )
-        return FENCE_MS + longest_ms
+        return FENCING_TIMEOUT_MS + longest_request_ms
 
-    def _is_current(self, now_ms: int) -> bool:
+    def _may_trust_claims(self, now_ms: int) -> bool:
         read_ms = self._journal.last_read_ms
-        if read_ms is not None and now_ms - read_ms <= FENCE_MS:
+        if read_ms is not None and now_ms - read_ms <= FENCING_TIMEOUT_MS:
             return True
         identity = self._membership.identity
         neighbours = [
@@ -116,15 +121,17 @@
             for peer in self._membership.peers()
             if peer.join.zone == identity.zone
         ]
+        # Only instances of this zone claim its units, so nobody takes over.
         if not neighbours:
             return True
         with self._journal.reading() as state:
             next_offset = state.next_offset
-        heard = [
+        live_neighbours = [
             peer
             for peer in neighbours
-            if peer.heard_ms >= 0 and now_ms - peer.heard_ms <= FENCE_MS
+            if peer.heard_ms >= 0 and now_ms - peer.heard_ms <= FENCING_TIMEOUT_MS
         ]
-        return bool(heard) and all(
-            peer.next_offset <= next_offset for peer in heard
+        # A neighbour that has read more of the log may have seen a takeover.
+        return bool(live_neighbours) and all(
+            peer.next_offset <= next_offset for peer in live_neighbours
         )
--- a/src/magnoliapitch/request/dispatcher.py
+++ b/src/magnoliapitch/request/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends requests to the own backend servers or to a peer that owns some."""
+"""Sends requests to owned backend servers or to a peer that owns some."""
 
 from __future__ import annotations
 
@@ -29,22 +29,23 @@
     from magnoliapitch.membership.instance import InstanceInfo
     from magnoliapitch.peer.link import PeerLink
     from magnoliapitch.request.peer_selector import Candidate
-    from magnoliapitch.request.peer_selector import PeerChoice
+    from magnoliapitch.request.peer_selector import PeerSelector
     from magnoliapitch.request.slot_pool import SlotPool
 
 
-ATTEMPTS_MAX = 4
-NO_OWNER_RETRY_MS = 1_000
-HOP_MARGIN_MS = 20
+MAX_ATTEMPTS = 4
+NO_OWNER_RETRY_AFTER_MS = 1_000
+FORWARD_MARGIN_MS = 20  # for the way to the peer and back
 
 Outcome = Result[ForwardedAnswer, Failure]
 
 
-class Task(NamedTuple):
-    """A request with what the dispatcher has to know of it.
+class RoutedRequest(NamedTuple):
+    """A request with its catalogue entry, deadline and routing.
 
-    :param deadline_ms: local monotonic time of the final answer.
-    :param may_forward: whether a peer may execute it.
+    :param deadline_ms: local monotonic time by which the caller must be
+        answered, in milliseconds.
+    :param may_forward: whether it may be forwarded to a peer.
     """
 
     entry: CatalogueEntry
@@ -54,17 +55,26 @@
 
 
 class _Attempt(NamedTuple):
+    """Result of one attempt.
+
+    :param is_final: whether no retry may follow, whatever the failure.
+    """
+
     outcome: Outcome
     is_final: bool = False
 
 
 class Dispatcher:
-    """Executes a request once, or more often if that is harmless."""
+    """Executes requests, and retries those that are safe to repeat.
+
+    A retry follows only if the failed attempt was not run or the entry is
+    idempotent, if time is left, and if the retry budget allows it.
+    """
 
     def __init__(
         self,
         pool: SlotPool,
-        peers: PeerChoice,
+        peers: PeerSelector,
         backends: BackendClient,
         link: PeerLink,
         clock: Clock,
@@ -74,95 +84,99 @@
         self._backends = backends
         self._link = link
         self._clock = clock
-        self._budget = RetryBudget()
-
-    def dispatch(self, task: Task) -> Outcome:
-        """Execute a request and return its one answer."""
-        self._budget.deposit()
-        is_uncertain = False
-        for _ in range(ATTEMPTS_MAX):
-            attempt = self._attempt(task)
+        self._retry_budget = RetryBudget()
+
+    def dispatch(self, routed: RoutedRequest) -> Outcome:
+        """Execute a request and return its final outcome.
+
+        The verdict of a failure covers all attempts: it is
+        ``may_have_run`` if any of them may have run.
+        """
+        self._retry_budget.deposit()
+        may_have_run_before = False
+        for _ in range(MAX_ATTEMPTS):
+            attempt = self._attempt(routed)
             if isinstance(attempt.outcome, Ok):
                 return attempt.outcome
             failure = attempt.outcome.err_value
             if failure.verdict is not Verdict.NOT_RUN:
-                is_uncertain = True
-            if attempt.is_final or not self._may_retry(task, failure):
+                may_have_run_before = True
+            if attempt.is_final or not self._may_retry(routed, failure):
                 break
-        if is_uncertain and failure.verdict is Verdict.NOT_RUN:
+        if may_have_run_before and failure.verdict is Verdict.NOT_RUN:
             failure = failure._replace(verdict=Verdict.MAY_HAVE_RUN)
         return Err(failure)
 
-    def _may_retry(self, task: Task, failure: Failure) -> bool:
+    def _may_retry(self, routed: RoutedRequest, failure: Failure) -> bool:
         is_harmless = (
-            failure.verdict is Verdict.NOT_RUN or task.entry.idempotent
+            failure.verdict is Verdict.NOT_RUN or routed.entry.idempotent
         )
         return (
-            is_harmless and self._left_ms(task) > 0 and self._budget.withdraw()
+            is_harmless and self._remaining_ms(routed) > 0 and self._retry_budget.withdraw()
         )
 
-    def _attempt(self, task: Task) -> _Attempt:
-        app = task.entry.app
-        server = self._pool.try_acquire(task.entry)
+    def _attempt(self, routed: RoutedRequest) -> _Attempt:
+        app = routed.entry.app
+        server = self._pool.try_acquire(routed.entry)
         if server is not None:
-            return self._send(task, server)
-        if task.may_forward:
-            peer = self._peers.with_free_slots(app)
+            return self._send(routed, server)
+        if routed.may_forward:
+            peer = self._peers.best_with_free_slots(app)
             if peer is not None:
-                return self._forward(task, peer)
+                return self._forward(routed, peer)
         if self._pool.has_servers(app):
-            return self._wait_and_send(task)
-        if task.may_forward:
-            peer = self._peers.any_owner(app)
+            return self._wait_and_send(routed)
+        if routed.may_forward:
+            peer = self._peers.best_owner(app)
             if peer is not None:
-                return self._forward(task, peer)
+                return self._forward(routed, peer)
         return _Attempt(
             Err(
                 not_run(
                     FailureCode.UNAVAILABLE,
-                    f"no reachable owner of backend servers of {app!r}",
-                    NO_OWNER_RETRY_MS,
+                    f"no reachable instance owns a backend server of {app!r}",
+                    NO_OWNER_RETRY_AFTER_MS,
                 )
             ),
             is_final=True,
         )
 
-    def _wait_and_send(self, task: Task) -> _Attempt:
-        joined = self._pool.wait(task.entry, task.deadline_ms)
-        if isinstance(joined, Err):
-            return _Attempt(joined, is_final=True)
-        waiter = joined.ok_value
+    def _wait_and_send(self, routed: RoutedRequest) -> _Attempt:
+        queued = self._pool.enqueue(routed.entry, routed.deadline_ms)
+        if isinstance(queued, Err):
+            return _Attempt(queued, is_final=True)
+        waiting = queued.ok_value
         peer: Candidate | None = None
-        while waiter.server is None and peer is None:
-            if not self._pool.poll(waiter):
+        while waiting.server is None and peer is None:
+            if not self._pool.wait_for_slot(waiting):
                 break
-            if task.may_forward and waiter.server is None:
-                peer = self._peers.with_free_slots(task.entry.app)
-        if waiter.server is None:
-            refusal = self._pool.leave(waiter)
+            if routed.may_forward and waiting.server is None:
+                peer = self._peers.best_with_free_slots(routed.entry.app)
+        if waiting.server is None:
+            refusal = self._pool.withdraw(waiting)
             if refusal is not None and peer is not None:
-                return self._forward(task, peer)
+                return self._forward(routed, peer)
             if refusal is not None:
                 return _Attempt(Err(refusal), is_final=True)
-        assert waiter.server is not None
-        return self._send(task, waiter.server)
+        assert waiting.server is not None
+        return self._send(routed, waiting.server)
 
-    def _send(self, task: Task, server: InstanceInfo) -> _Attempt:
+    def _send(self, routed: RoutedRequest, server: InstanceInfo) -> _Attempt:
         started_ms = self._clock.now_ms()
-        timeout_ms = task.deadline_ms - started_ms
+        timeout_ms = routed.deadline_ms - started_ms
         if timeout_ms <= 0:
             self._pool.release(server, None, started_ms, 0)
-            return _Attempt(Err(_out_of_time()), is_final=True)
-        request = task.request
-        answered = self._call(
+            return _Attempt(Err(_deadline_exceeded()), is_final=True)
+        request = routed.request
+        answer_result = self._call(
             server,
             BackendRequest(
                 request.request_id, request.entry, request.body, timeout_ms
             ),
         )
-        self._pool.release(server, answered, started_ms, timeout_ms)
+        self._pool.release(server, answer_result, started_ms, timeout_ms)
         return _Attempt(
-            answered.map(
+            answer_result.map(
                 lambda answer: ForwardedAnswer(
                     request.request_id,
                     answer.status,
@@ -183,24 +197,25 @@
             )
             return Err(may_have_run(FailureCode.BAD_ANSWER, repr(error)))
 
-    def _forward(self, task: Task, peer: Candidate) -> _Attempt:
-        left_ms = self._left_ms(task)
-        if left_ms <= HOP_MARGIN_MS:
-            return _Attempt(Err(_out_of_time()), is_final=True)
-        self._peers.use(peer)
-        plain = task.request._replace(
-            timeout_ms=left_ms - HOP_MARGIN_MS, ticket="", key=""
+    def _forward(self, routed: RoutedRequest, peer: Candidate) -> _Attempt:
+        remaining_ms = self._remaining_ms(routed)
+        if remaining_ms <= FORWARD_MARGIN_MS:
+            return _Attempt(Err(_deadline_exceeded()), is_final=True)
+        self._peers.note_forwarded(peer)
+        forwarded = routed.request._replace(
+            timeout_ms=remaining_ms - FORWARD_MARGIN_MS, ticket="", key=""
         )
-        outcome = self._link.forward(peer.address, plain, left_ms)
+        outcome = self._link.forward(peer.address, forwarded, remaining_ms)
         if isinstance(outcome, Err):
             self._peers.avoid(peer)
         return _Attempt(outcome)
 
-    def _left_ms(self, task: Task) -> int:
-        return task.deadline_ms - self._clock.now_ms()
+    def _remaining_ms(self, routed: RoutedRequest) -> int:
+        return routed.deadline_ms - self._clock.now_ms()
 
 
-def _out_of_time() -> Failure:
+def _deadline_exceeded() -> Failure:
     return not_run(
-        FailureCode.TIMEOUT, "the caller's patience ended before dispatch"
+        FailureCode.TIMEOUT,
+        "the request's timeout elapsed before it was dispatched",
     )
--- a/src/magnoliapitch/request/duration_estimate.py
+++ b/src/magnoliapitch/request/duration_estimate.py
@@ -1,28 +1,28 @@
-"""Estimates how long a request waits until others have finished."""
+"""Estimates how long a queued request waits for those ahead of it."""
 
 from __future__ import annotations
 
 
-FIRST_GUESS_MS = 20.0
-WEIGHT = 0.1
+INITIAL_MEAN_MS = 20.0
+SMOOTHING_FACTOR = 0.1
 
 
 class DurationEstimate:
-    """Moving average of the durations of finished requests."""
+    """Exponential moving average of request durations."""
 
     __slots__ = ("mean_ms",)
 
     def __init__(self) -> None:
-        self.mean_ms = FIRST_GUESS_MS
+        self.mean_ms = INITIAL_MEAN_MS
 
-    def note(self, duration_ms: int) -> None:
-        """Take in the duration of a finished request."""
-        self.mean_ms += WEIGHT * (duration_ms - self.mean_ms)
+    def add_sample(self, duration_ms: int) -> None:
+        """Add the duration of a finished request to the average."""
+        self.mean_ms += SMOOTHING_FACTOR * (duration_ms - self.mean_ms)
 
-    def wait_ms(self, ahead: int, places: int) -> int:
-        """Return the expected wait for a place.
+    def wait_ms(self, requests_ahead: int, concurrency: int) -> int:
+        """Return the expected wait in milliseconds.
 
-        :param ahead: requests that are served earlier.
-        :param places: requests served at once.
+        :param requests_ahead: number of requests that are served earlier.
+        :param concurrency: number of requests served at once.
         """
-        return int((ahead + 1) / max(places, 1) * self.mean_ms)
+        return int((requests_ahead + 1) / max(concurrency, 1) * self.mean_ms)
--- a/src/magnoliapitch/request/execution_registry.py
+++ b/src/magnoliapitch/request/execution_registry.py
@@ -1,4 +1,4 @@
-"""Runs each name at most once and repeats its outcome."""
+"""Registry that runs each request at most once and repeats its outcome."""
 
 from __future__ import annotations
 
@@ -22,16 +22,19 @@
     from magnoliapitch.request.dispatcher import Outcome
 
 
-RECORDS_MAX = 100_000
+MAX_EXECUTIONS = 100_000
 ANSWERS_MAX_BYTES = 16 << 20
-FULL_RETRY_MS = 5_000
+FULL_RETRY_AFTER_MS = 5_000
 
 
-class _Record:
-    """What is known of a name.
+class _Execution:
+    """Execution of one named request.
 
-    ``done`` is absent while nothing has run; ``outcome`` is absent while
-    it runs, and again after the answer was dropped.
+    :ivar digest: digest of the request body.
+    :ivar done: set when the current attempt ends; absent before the first
+        attempt and after an attempt that was not run.
+    :ivar outcome: absent until an attempt has ended, and again after the
+        answer was dropped to save memory.
     """
 
     __slots__ = ("digest", "done", "expires_ms", "outcome")
@@ -43,51 +46,56 @@
         self.outcome: Outcome | None = None
 
 
-class OnceBook:
-    """Names that this incarnation alone may run.
+class ExecutionRegistry:
+    """Requests, by name, that only this incarnation may run.
 
-    A name that is not in the book is never run, so losing a record is
-    safe. Records are kept until they expire; answers are dropped earlier,
-    the oldest first, when they exceed their bound.
+    A name that is not registered is never run, so losing one is safe.
+    Executions are kept until they expire. Answers are dropped earlier, the
+    oldest first, when together they exceed ``answers_max_bytes``.
     """
 
     def __init__(
         self,
         clock: Clock,
-        records_max: int = RECORDS_MAX,
+        max_executions: int = MAX_EXECUTIONS,
         answers_max_bytes: int = ANSWERS_MAX_BYTES,
     ) -> None:
         self._clock = clock
-        self._records_max = records_max
+        self._max_executions = max_executions
         self._answers_max_bytes = answers_max_bytes
-        self._records_by_name: dict[str, _Record] = {}
-        self._answered: dict[str, int] = {}
-        self._answer_bytes = 0
+        self._executions_by_name: dict[str, _Execution] = {}
+        self._answer_bytes_by_name: dict[str, int] = {}
+        self._total_answer_bytes = 0
         self._lock = threading.Lock()
 
     def __len__(self) -> int:
-        return len(self._records_by_name)
+        return len(self._executions_by_name)
 
     def open(self, name: str, digest: str, expires_ms: int) -> Failure | None:
-        """Allow a name to run once; a known name stays as it is.
+        """Register a name to be run once; a known name stays as it is.
 
-        :return: why it cannot be, if the book is full or it has expired.
+        :param digest: digest of the request body.
+        :param expires_ms: local monotonic time, in milliseconds, until which
+            the name is kept.
+        :return: the failure if the registry is full or the name has expired.
         """
         with self._lock:
-            if name in self._records_by_name:
+            if name in self._executions_by_name:
                 return None
-            # Its record may have expired after the caller had checked it.
+            # The name may have expired since the caller checked it, and its
+            # execution may have been removed.
             if expires_ms <= self._clock.now_ms():
-                return _forgotten()
-            if len(self._records_by_name) >= self._records_max:
-                self._expire()
-            if len(self._records_by_name) >= self._records_max:
+                return _unknown_failure()
+            if len(self._executions_by_name) >= self._max_executions:
+                self._remove_expired()
+            if len(self._executions_by_name) >= self._max_executions:
                 return not_run(
                     FailureCode.OVERLOADED,
-                    f"{self._records_max} requests are remembered already",
-                    FULL_RETRY_MS,
+                    f"{self._max_executions} requests are remembered already; "
+                    "more are accepted when some of them have expired",
+                    FULL_RETRY_AFTER_MS,
                 )
-            self._records_by_name[name] = _Record(digest, expires_ms)
+            self._executions_by_name[name] = _Execution(digest, expires_ms)
         return None
 
     def run(
@@ -97,91 +105,102 @@
         deadline_ms: int,
         execute: Callable[[], Outcome],
     ) -> Outcome:
-        """Execute a name, join its execution or repeat its outcome."""
+        """Execute a registered request or return its earlier outcome.
+
+        If another thread executes it now, wait for that outcome.
+
+        :param digest: digest of the request body; another body is refused.
+        :param deadline_ms: local monotonic time, in milliseconds, until which
+            to wait for another thread.
+        """
         with self._lock:
-            record = self._records_by_name.get(name)
-            if record is None:
-                return Err(_forgotten())
-            if record.digest != digest:
-                return Err(_other_body())
-            done = record.done
+            execution = self._executions_by_name.get(name)
+            if execution is None:
+                return Err(_unknown_failure())
+            if execution.digest != digest:
+                return Err(_body_conflict())
+            done = execution.done
             if done is None:
-                record.done = threading.Event()
+                execution.done = threading.Event()
         if done is not None:
-            return self._join(record, done, deadline_ms)
-        return self._execute(name, record, execute)
+            return self._wait_for_outcome(execution, done, deadline_ms)
+        return self._execute(name, execution, execute)
 
     def _execute(
-        self, name: str, record: _Record, execute: Callable[[], Outcome]
+        self, name: str, execution: _Execution, execute: Callable[[], Outcome]
     ) -> Outcome:
         outcome: Outcome = Err(
-            may_have_run(FailureCode.INTERNAL, "the execution failed")
+            may_have_run(
+                FailureCode.INTERNAL,
+                "the execution ended with an internal error",
+            )
         )
         try:
             outcome = execute()
         finally:
-            self._settle(name, record, outcome)
+            self._finish(name, execution, outcome)
         return outcome
 
-    def _settle(self, name: str, record: _Record, outcome: Outcome) -> None:
+    def _finish(self, name: str, execution: _Execution, outcome: Outcome) -> None:
         with self._lock:
-            done = record.done
+            done = execution.done
             assert done is not None
             if _is_not_run(outcome):
-                record.done = None
+                execution.done = None
             else:
-                record.outcome = outcome
-                self._note_answer(name, outcome)
+                execution.outcome = outcome
+                self._limit_answers(name, outcome)
         done.set()
 
-    def _join(
-        self, record: _Record, done: threading.Event, deadline_ms: int
+    def _wait_for_outcome(
+        self, execution: _Execution, done: threading.Event, deadline_ms: int
     ) -> Outcome:
-        left_ms = max(deadline_ms - self._clock.now_ms(), 0)
-        if not done.is_set() and not self._clock.wait(done, left_ms):
+        remaining_ms = max(deadline_ms - self._clock.now_ms(), 0)
+        if not done.is_set() and not self._clock.wait(done, remaining_ms):
             return Err(
                 may_have_run(
-                    FailureCode.TIMEOUT, "the first attempt still runs"
+                    FailureCode.TIMEOUT,
+                    "an earlier attempt of the request is still running",
                 )
             )
         with self._lock:
-            if record.done is not done:
-                return Err(_retry())
-            if record.outcome is not None:
-                return record.outcome
+            if execution.done is not done:
+                return Err(_not_run_failure())
+            if execution.outcome is not None:
+                return execution.outcome
         return Err(
             Failure(
                 Verdict.RAN,
                 FailureCode.EXPIRED,
-                "it was answered before, and the answer is no longer kept",
+                "the request ran before, and its answer is no longer kept",
             )
         )
 
-    def _note_answer(self, name: str, outcome: Outcome) -> None:
+    def _limit_answers(self, name: str, outcome: Outcome) -> None:
         if isinstance(outcome, Err):
             return
         size = len(outcome.ok_value.body)
-        self._answered[name] = size
-        self._answer_bytes += size
-        while self._answer_bytes > self._answers_max_bytes:
-            oldest = next(iter(self._answered))
-            self._answer_bytes -= self._answered.pop(oldest)
-            self._records_by_name[oldest].outcome = None
-
-    def _expire(self) -> None:
+        self._answer_bytes_by_name[name] = size
+        self._total_answer_bytes += size
+        while self._total_answer_bytes > self._answers_max_bytes:
+            oldest = next(iter(self._answer_bytes_by_name))
+            self._total_answer_bytes -= self._answer_bytes_by_name.pop(oldest)
+            self._executions_by_name[oldest].outcome = None
+
+    def _remove_expired(self) -> None:
         now_ms = self._clock.now_ms()
         expired = [
             name
-            for name, record in self._records_by_name.items()
-            if record.expires_ms <= now_ms and _is_settled(record)
+            for name, execution in self._executions_by_name.items()
+            if execution.expires_ms <= now_ms and _is_idle(execution)
         ]
         for name in expired:
-            del self._records_by_name[name]
-            self._answer_bytes -= self._answered.pop(name, 0)
+            del self._executions_by_name[name]
+            self._total_answer_bytes -= self._answer_bytes_by_name.pop(name, 0)
 
 
-def _is_settled(record: _Record) -> bool:
-    return record.done is None or record.done.is_set()
+def _is_idle(execution: _Execution) -> bool:
+    return execution.done is None or execution.done.is_set()
 
 
 def _is_not_run(outcome: Outcome) -> bool:
@@ -191,19 +210,22 @@
     )
 
 
-def _forgotten() -> Failure:
+def _unknown_failure() -> Failure:
     return may_have_run(
         FailureCode.EXPIRED, "this instance no longer remembers the request"
     )
 
 
-def _other_body() -> Failure:
+def _body_conflict() -> Failure:
     return not_run(
-        FailureCode.CONFLICT, "it was used before with another request"
+        FailureCode.CONFLICT,
+        "the ticket or key was used before with another request body",
     )
 
 
-def _retry() -> Failure:
+def _not_run_failure() -> Failure:
     return not_run(
-        FailureCode.UNAVAILABLE, "the attempt that was joined did not run", 100
+        FailureCode.UNAVAILABLE,
+        "the concurrent attempt of the same request was not run",
+        100,
     )
--- a/src/magnoliapitch/request/limit.py
+++ b/src/magnoliapitch/request/limit.py
@@ -1,11 +1,11 @@
 """Limits of catalogue entries on small requests.
 
-Limits hold for the whole system. Each entry instance enforces its share:
-the limit divided by the instances that the log names as members, the rest
-going to the first of them in an order that differs from entry to entry.
-The shares add up to the limit whenever members agree on the list, cut off
-or not, because silence does not remove a member; only its departure in
-the log does.
+Limits apply to the whole system. Each entry instance enforces its share: the
+limit divided by the number of members in the log. The remainder goes, one
+each, to the first members in an order that differs from entry to entry.
+The shares add up to the limit whenever the members agree on the list, also
+during a network partition: a member that is silent stays in the list until
+the log records its departure.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from magnoliapitch.request.concurrency_limiter import ConcurrencyGate
+from magnoliapitch.request.concurrency_limiter import ConcurrencyLimiter
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
@@ -29,35 +29,37 @@
     from magnoliapitch.membership.membership import Membership
 
 
-MEMBERS_AGE_MS = 500
-SHARE_RETRY_MS = 1_000
+MEMBER_LIST_MAX_AGE_MS = 500
+NO_SHARE_RETRY_AFTER_MS = 1_000
 
 
 class TokenBucket:
-    """Allows a rate with bursts of at most one second of it."""
+    """Token bucket whose burst is limited to one second of the rate."""
 
-    __slots__ = ("_filled_ms", "_tokens")
+    __slots__ = ("_refilled_ms", "_tokens")
 
-    def __init__(self, rate: int, now_ms: int) -> None:
-        self._tokens = float(rate)
-        self._filled_ms = now_ms
+    def __init__(self, rate_per_s: int, now_ms: int) -> None:
+        self._tokens = float(rate_per_s)
+        self._refilled_ms = now_ms
 
-    def take(self, rate: int, now_ms: int) -> int:
-        """Take a token.
+    def take(self, rate_per_s: int, now_ms: int) -> int:
+        """Take a token if there is one.
 
-        :param rate: tokens a second.
-        :return: milliseconds until there is one, 0 if it was taken.
+        :param rate_per_s: tokens added per second.
+        :return: 0 if a token was taken, else milliseconds until there is one.
         """
-        gained = (now_ms - self._filled_ms) * rate / 1000
-        self._tokens = min(self._tokens + gained, float(rate))
-        self._filled_ms = now_ms
+        gained = (now_ms - self._refilled_ms) * rate_per_s / 1000
+        self._tokens = min(self._tokens + gained, float(rate_per_s))
+        self._refilled_ms = now_ms
         if self._tokens >= 1:
             self._tokens -= 1
             return 0
-        return int((1 - self._tokens) * 1000 / rate) + 1
+        return int((1 - self._tokens) * 1000 / rate_per_s) + 1
 
 
-class _Share(NamedTuple):
+class _MemberList(NamedTuple):
+    """Incarnations of all members, and when they were read."""
+
     members: tuple[str, ...]
     read_ms: int
 
@@ -69,81 +71,85 @@
         self._membership = membership
         self._clock = clock
         self._lock = threading.Lock()
-        self._gates_by_entry: dict[str, ConcurrencyGate] = {}
+        self._limiters_by_entry: dict[str, ConcurrencyLimiter] = {}
         self._buckets_by_entry: dict[str, TokenBucket] = {}
-        self._share: _Share | None = None
+        self._member_list: _MemberList | None = None
 
     def admit(self, entry: CatalogueEntry, deadline_ms: int) -> Failure | None:
-        """Wait for permission to proceed; ``finish`` gives it back.
+        """Wait until a request may run; ``finish`` must follow.
 
-        :return: why the request is refused, if it is.
+        :param deadline_ms: local monotonic time, in milliseconds, by which
+            the request has to be finished.
+        :return: why the request is refused, if it is; ``finish`` must not
+            be called then.
         """
         now_ms = self._clock.now_ms()
         members = self._members(now_ms)
         limits = entry.limits
-        most = self._share_of(entry.name, limits.concurrent_requests, members)
-        rate = self._share_of(entry.name, limits.requests_per_second, members)
-        if not most or not rate:
-            return _refused(
-                f"this instance has no share of the limits of {entry.name}",
-                SHARE_RETRY_MS,
+        max_running = self._share_of(entry.name, limits.concurrent_requests, members)
+        rate_per_s = self._share_of(entry.name, limits.requests_per_second, members)
+        if not max_running or not rate_per_s:
+            return _quota_failure(
+                f"this instance has no share of the limits of {entry.name}; "
+                "send the request to another instance",
+                NO_SHARE_RETRY_AFTER_MS,
             )
         with self._lock:
             bucket = self._buckets_by_entry.get(entry.name)
             if bucket is None:
-                bucket = TokenBucket(rate, now_ms)
+                bucket = TokenBucket(rate_per_s, now_ms)
                 self._buckets_by_entry[entry.name] = bucket
-            retry_ms = bucket.take(rate, now_ms)
-        if retry_ms:
-            return _refused(
-                f"{entry.name} exceeds its rate of "
-                f"{limits.requests_per_second} requests a second",
-                retry_ms,
+            retry_after_ms = bucket.take(rate_per_s, now_ms)
+        if retry_after_ms:
+            return _quota_failure(
+                f"{entry.name}: this instance's share of the limit of "
+                f"{limits.requests_per_second} requests per second is used up",
+                retry_after_ms,
             )
-        return self._gate(entry.name).enter(entry, most, deadline_ms)
+        return self._limiter(entry.name).acquire(entry, max_running, deadline_ms)
 
     def finish(self, entry: CatalogueEntry, duration_ms: int) -> None:
-        """Let the next request of an entry proceed."""
-        self._gate(entry.name).leave(duration_ms)
+        """Note the end of an admitted request and let the next one run."""
+        self._limiter(entry.name).release(duration_ms)
 
     def dump(self) -> dict[str, object]:
         """Return the limits' part of the state dump."""
         with self._lock:
-            gates = tuple(self._gates_by_entry.items())
-        return {name: gate.dump() for name, gate in gates}
+            limiters = tuple(self._limiters_by_entry.items())
+        return {name: limiter.dump() for name, limiter in limiters}
 
-    def _gate(self, name: str) -> ConcurrencyGate:
+    def _limiter(self, name: str) -> ConcurrencyLimiter:
         with self._lock:
-            gate = self._gates_by_entry.get(name)
-            if gate is None:
-                gate = ConcurrencyGate(self._clock)
-                self._gates_by_entry[name] = gate
-            return gate
+            limiter = self._limiters_by_entry.get(name)
+            if limiter is None:
+                limiter = ConcurrencyLimiter(self._clock)
+                self._limiters_by_entry[name] = limiter
+            return limiter
 
     def _members(self, now_ms: int) -> tuple[str, ...]:
-        share = self._share
-        if share is None or now_ms - share.read_ms >= MEMBERS_AGE_MS:
+        member_list = self._member_list
+        if member_list is None or now_ms - member_list.read_ms >= MEMBER_LIST_MAX_AGE_MS:
             others = [
                 peer.join.incarnation for peer in self._membership.peers()
             ]
             own = self._membership.identity.incarnation
-            share = _Share((own, *others), now_ms)
-            self._share = share
-        return share.members
+            member_list = _MemberList((own, *others), now_ms)
+            self._member_list = member_list
+        return member_list.members
 
     def _share_of(
         self, name: str, limit: int, members: tuple[str, ...]
     ) -> int:
-        whole, rest = divmod(limit, len(members))
-        if not rest:
-            return whole
+        base, remainder = divmod(limit, len(members))
+        if not remainder:
+            return base
         order = sorted(
             members,
-            key=lambda item: xxhash.xxh64_intdigest(f"{name}/{item}".encode()),
+            key=lambda incarnation: xxhash.xxh64_intdigest(f"{name}/{incarnation}".encode()),
         )
         own = self._membership.identity.incarnation
-        return whole + (order.index(own) < rest)
+        return base + (order.index(own) < remainder)
 
 
-def _refused(detail: str, retry_ms: int) -> Failure:
-    return not_run(FailureCode.QUOTA, detail, retry_ms)
+def _quota_failure(detail: str, retry_after_ms: int) -> Failure:
+    return not_run(FailureCode.QUOTA, detail, retry_after_ms)
--- a/src/magnoliapitch/request/peer_selector.py
+++ b/src/magnoliapitch/request/peer_selector.py
@@ -1,4 +1,4 @@
-"""Chooses the peer that executes a request this instance cannot."""
+"""Selects the peer to which a request is forwarded."""
 
 from __future__ import annotations
 
@@ -20,30 +20,34 @@
     from magnoliapitch.membership.status import PeerStatus
 
 
-REFRESH_MS = 100
-AVOID_MS = 1_000
+REFRESH_INTERVAL_MS = 100
+AVOIDANCE_MS = 1_000
 
 
 class Candidate(NamedTuple):
     """A peer that owns backend servers of an application.
 
-    :param free_slots: free slots by its last heartbeat, less those that
-        this instance has used since.
+    :param address: ``IP:PORT`` of its peer listener.
+    :param is_same_zone: whether it is in this instance's zone.
+    :param free_slots: free slots by its last heartbeat, less the requests
+        that this instance has forwarded to it since.
     """
 
     incarnation: str
     address: str
-    is_near: bool
+    is_same_zone: bool
     free_slots: int
 
 
-class _Table(NamedTuple):
+class _CandidateTable(NamedTuple):
+    """Candidates as of a local time."""
+
     read_ms: int
     candidates_by_app: dict[str, tuple[Candidate, ...]]
 
 
-class PeerChoice:
-    """Ranks peers by availability zone and free slots."""
+class PeerSelector:
+    """Ranks peers: those of the own zone first, then by free slots."""
 
     def __init__(
         self,
@@ -57,51 +61,52 @@
         self._fleet = fleet
         self._clock = clock
         self._lock = threading.Lock()
-        self._table = _Table(-REFRESH_MS, {})
-        self._used_by_peer: dict[str, tuple[int, int]] = {}
+        self._table = _CandidateTable(-REFRESH_INTERVAL_MS, {})
+        # Time of the peer's last heartbeat, and slots used since then.
+        self._used_slots_by_peer: dict[str, tuple[int, int]] = {}
         self._avoided_until_ms_by_peer: dict[str, int] = {}
 
-    def with_free_slots(self, app: str) -> Candidate | None:
-        """Return the best peer that shows a free slot."""
+    def best_with_free_slots(self, app: str) -> Candidate | None:
+        """Return the best peer that reports a free slot, if any does."""
         candidates = [c for c in self._candidates(app) if c.free_slots > 0]
-        return max(candidates, key=_preference, default=None)
+        return max(candidates, key=_rank, default=None)
 
-    def any_owner(self, app: str) -> Candidate | None:
-        """Return the best peer, whether it shows a free slot or not."""
-        return max(self._candidates(app), key=_preference, default=None)
+    def best_owner(self, app: str) -> Candidate | None:
+        """Return the best peer, whether it reports a free slot or not."""
+        return max(self._candidates(app), key=_rank, default=None)
 
-    def use(self, candidate: Candidate) -> None:
-        """Count a request sent since the last heartbeat."""
+    def note_forwarded(self, candidate: Candidate) -> None:
+        """Count a request forwarded since the peer's last heartbeat."""
         with self._lock:
-            heard_ms, used = self._used_by_peer.get(
+            heard_ms, used_slots = self._used_slots_by_peer.get(
                 candidate.incarnation, (-1, 0)
             )
-            self._used_by_peer[candidate.incarnation] = (heard_ms, used + 1)
+            self._used_slots_by_peer[candidate.incarnation] = (heard_ms, used_slots + 1)
 
     def avoid(self, candidate: Candidate) -> None:
-        """Prefer other peers for a while."""
-        until_ms = self._clock.now_ms() + AVOID_MS
+        """Exclude a peer for ``AVOIDANCE_MS`` after a failed call."""
+        until_ms = self._clock.now_ms() + AVOIDANCE_MS
         with self._lock:
             self._avoided_until_ms_by_peer[candidate.incarnation] = until_ms
 
     def _candidates(self, app: str) -> list[Candidate]:
         now_ms = self._clock.now_ms()
         table = self._table
-        if now_ms - table.read_ms >= REFRESH_MS:
-            table = _Table(now_ms, self._read())
+        if now_ms - table.read_ms >= REFRESH_INTERVAL_MS:
+            table = _CandidateTable(now_ms, self._build_candidates())
             self._table = table
         with self._lock:
             return [
                 candidate._replace(
                     free_slots=candidate.free_slots
-                    - self._used_by_peer.get(candidate.incarnation, (0, 0))[1]
+                    - self._used_slots_by_peer.get(candidate.incarnation, (0, 0))[1]
                 )
                 for candidate in table.candidates_by_app.get(app, ())
                 if self._avoided_until_ms_by_peer.get(candidate.incarnation, 0)
                 <= now_ms
             ]
 
-    def _read(self) -> dict[str, tuple[Candidate, ...]]:
+    def _build_candidates(self) -> dict[str, tuple[Candidate, ...]]:
         app_by_unit = {
             server.unit: server.app
             for server in self._fleet.of_role(InstanceRole.BACKEND_SERVER)
@@ -113,9 +118,9 @@
                 for unit in app_by_unit
                 if unit in state.claims_by_unit
             }
-        found: dict[str, list[Candidate]] = {}
+        candidates_by_app: dict[str, list[Candidate]] = {}
         for peer in self._membership.peers():
-            self._note_heartbeat(peer)
+            self._reset_used_slots(peer)
             if peer.state is MemberState.LEAVING:
                 continue
             units = {
@@ -124,9 +129,9 @@
                 if owner == peer.join.incarnation
             }
             for app in {app_by_unit[unit] for unit in units}:
-                mine = {unit for unit in units if app_by_unit[unit] == app}
-                found.setdefault(app, []).append(self._candidate(peer, mine))
-        return {app: tuple(items) for app, items in found.items()}
+                app_units = {unit for unit in units if app_by_unit[unit] == app}
+                candidates_by_app.setdefault(app, []).append(self._candidate(peer, app_units))
+        return {app: tuple(items) for app, items in candidates_by_app.items()}
 
     def _candidate(self, peer: PeerStatus, units: set[str]) -> Candidate:
         free = sum(
@@ -139,12 +144,12 @@
             free if peer.state is MemberState.LIVE else 0,
         )
 
-    def _note_heartbeat(self, peer: PeerStatus) -> None:
+    def _reset_used_slots(self, peer: PeerStatus) -> None:
         with self._lock:
-            known = self._used_by_peer.get(peer.join.incarnation)
+            known = self._used_slots_by_peer.get(peer.join.incarnation)
             if known is None or known[0] != peer.heard_ms:
-                self._used_by_peer[peer.join.incarnation] = (peer.heard_ms, 0)
+                self._used_slots_by_peer[peer.join.incarnation] = (peer.heard_ms, 0)
 
 
-def _preference(candidate: Candidate) -> tuple[bool, int]:
-    return candidate.is_near, candidate.free_slots
+def _rank(candidate: Candidate) -> tuple[bool, int]:
+    return candidate.is_same_zone, candidate.free_slots
--- a/src/magnoliapitch/request/request_queue.py
+++ b/src/magnoliapitch/request/request_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place, ordered by urgency and deadline."""
+"""Queue of waiting requests, ordered by priority and deadline."""
 
 from __future__ import annotations
 
@@ -17,29 +17,34 @@
     from magnoliapitch.membership.instance import InstanceInfo
 
 
-URGENCY_BY_CLASS = {
+PRIORITY_BY_CLASS = {
     WorkClass.URGENT: 0,
     WorkClass.SERVICE: 1,
     WorkClass.GANG: 2,
     WorkClass.BATCH: 3,
 }
-WAIT_SLICE_MS = 50
-RETRY_MIN_MS = 100
+GRANT_POLL_INTERVAL_MS = 50
+RETRY_AFTER_MIN_MS = 100
 
 
 class Rank(NamedTuple):
-    """Position in the queue; the lowest is served first."""
+    """Sort key of a queued request; the lowest is served first.
 
-    urgency: int
+    :param priority: from ``PRIORITY_BY_CLASS``.
+    :param sequence: order of arrival, which breaks ties.
+    """
+
+    priority: int
     deadline_ms: int
-    number: int
+    sequence: int
 
 
-class Waiter:
-    """One request in the queue.
+class QueuedRequest:
+    """A request in the queue.
 
-    :ivar granted: set when the request has got its place.
+    :ivar granted: set when the request may proceed.
     :ivar server: backend server whose slot was granted, if any.
+    :ivar is_abandoned: whether it gave up; the queue skips it.
     """
 
     __slots__ = ("entry", "granted", "is_abandoned", "rank", "server")
@@ -51,72 +56,78 @@
         self.server: InstanceInfo | None = None
         self.is_abandoned = False
 
-    def wait(self, clock: Clock) -> bool:
-        """Wait a little; return whether the place was granted."""
-        left_ms = self.rank.deadline_ms - clock.now_ms()
-        return clock.wait(self.granted, max(min(WAIT_SLICE_MS, left_ms), 0))
+    def wait_for_grant(self, clock: Clock) -> bool:
+        """Wait for ``GRANT_POLL_INTERVAL_MS`` or until the deadline.
+
+        :return: whether the request may proceed.
+        """
+        remaining_ms = self.rank.deadline_ms - clock.now_ms()
+        return clock.wait(self.granted, max(min(GRANT_POLL_INTERVAL_MS, remaining_ms), 0))
+
+    def can_finish_in_time(self, now_ms: int, needed_ms: float) -> bool:
+        """Return whether the request can finish before its deadline.
 
-    def can_finish(self, now_ms: int, needed_ms: float) -> bool:
-        """Return whether enough time is left for an answer."""
+        :param needed_ms: expected duration once it runs.
+        """
         return now_ms + needed_ms < self.rank.deadline_ms
 
 
-class WaitQueue:
-    """Waiting requests; its users hold a lock."""
+class RequestQueue:
+    """Priority queue of requests; callers synchronize access to it."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[Rank, Waiter]] = []
+        self._heap: list[tuple[Rank, QueuedRequest]] = []
         self._count_by_entry: dict[str, int] = {}
         self._length = 0
-        self._numbers = 0
+        self._last_sequence = 0
 
     def __len__(self) -> int:
         return self._length
 
-    def count(self, entry: str) -> int:
-        """Return how many requests of an entry wait."""
+    def count_of(self, entry: str) -> int:
+        """Return the number of queued requests of an entry."""
         return self._count_by_entry.get(entry, 0)
 
-    def ahead_of(self, entry: CatalogueEntry, deadline_ms: int) -> int:
-        """Return how many waiting requests would be served earlier."""
-        rank = self._rank(entry, deadline_ms)
+    def count_ahead_of(self, entry: CatalogueEntry, deadline_ms: int) -> int:
+        """Return the number of queued requests ahead of a new one."""
+        rank = self._rank_of(entry, deadline_ms)
         return sum(
-            not waiter.is_abandoned and other < rank
-            for other, waiter in self._heap
+            not queued.is_abandoned and queued_rank < rank
+            for queued_rank, queued in self._heap
         )
 
-    def add(self, entry: CatalogueEntry, deadline_ms: int) -> Waiter:
-        """Append a request."""
-        self._numbers += 1
-        waiter = Waiter(entry, self._rank(entry, deadline_ms))
-        heapq.heappush(self._heap, (waiter.rank, waiter))
-        self._count_by_entry[entry.name] = self.count(entry.name) + 1
+    def add(self, entry: CatalogueEntry, deadline_ms: int) -> QueuedRequest:
+        """Add a request to the queue."""
+        self._last_sequence += 1
+        queued = QueuedRequest(entry, self._rank_of(entry, deadline_ms))
+        heapq.heappush(self._heap, (queued.rank, queued))
+        self._count_by_entry[entry.name] = self.count_of(entry.name) + 1
         self._length += 1
-        return waiter
+        return queued
 
-    def pop(self) -> Waiter | None:
-        """Remove and return the first request that still waits."""
+    def pop(self) -> QueuedRequest | None:
+        """Remove and return the first request that was not abandoned."""
         while self._heap:
-            _, waiter = heapq.heappop(self._heap)
-            if not waiter.is_abandoned:
-                self._forget(waiter)
-                return waiter
+            _, queued = heapq.heappop(self._heap)
+            if not queued.is_abandoned:
+                self._decrement_counts(queued)
+                return queued
         return None
 
-    def abandon(self, waiter: Waiter) -> None:
-        """Take a request out that gave up."""
-        waiter.is_abandoned = True
-        self._forget(waiter)
+    def abandon(self, queued: QueuedRequest) -> None:
+        """Mark a queued request as given up; ``pop`` skips it."""
+        queued.is_abandoned = True
+        self._decrement_counts(queued)
 
-    def _rank(self, entry: CatalogueEntry, deadline_ms: int) -> Rank:
-        urgency = URGENCY_BY_CLASS[entry.work_class]
-        return Rank(urgency, deadline_ms, self._numbers)
+    def _rank_of(self, entry: CatalogueEntry, deadline_ms: int) -> Rank:
+        priority = PRIORITY_BY_CLASS[entry.work_class]
+        return Rank(priority, deadline_ms, self._last_sequence)
 
-    def _forget(self, waiter: Waiter) -> None:
-        name = waiter.entry.name
+    def _decrement_counts(self, queued: QueuedRequest) -> None:
+        name = queued.entry.name
         self._length -= 1
-        count = self._count_by_entry[name] - 1
-        if count:
-            self._count_by_entry[name] = count
+        remaining = self._count_by_entry[name] - 1
+        if remaining:
+            self._count_by_entry[name] = remaining
         else:
             del self._count_by_entry[name]
--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -1,4 +1,4 @@
-"""Admits small requests and gives each of them one answer."""
+"""Entry point of small requests: admission, routing and draining."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.request.at_most_once import AtMostOnce
+from magnoliapitch.request.at_most_once import AtMostOnceExecutor
 from magnoliapitch.request.dispatcher import Dispatcher
 from magnoliapitch.request.dispatcher import Outcome
-from magnoliapitch.request.dispatcher import Task
+from magnoliapitch.request.dispatcher import RoutedRequest
 from magnoliapitch.request.dispatch_fence import DispatchFence
 from magnoliapitch.request.limit import RequestLimits
-from magnoliapitch.request.peer_selector import PeerChoice
+from magnoliapitch.request.peer_selector import PeerSelector
 from magnoliapitch.request.slot_pool import SlotPool
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
@@ -37,14 +37,14 @@
     from magnoliapitch.request.ticket import Ticket
 
 
-DRAIN_RETRY_MS = 1_000
-START_RETRY_MS = 1_000
-FORWARDED_MAX = 192
-FORWARDED_RETRY_MS = 100
+DRAIN_RETRY_AFTER_MS = 1_000
+START_RETRY_AFTER_MS = 1_000
+MAX_FORWARDED_REQUESTS = 192
+FORWARDED_RETRY_AFTER_MS = 100
 
 
 class Router:
-    """Executes small requests on backend servers of owned groups."""
+    """Executes small requests on owned backend servers or through peers."""
 
     def __init__(
         self,
@@ -62,64 +62,74 @@
         self._fence = DispatchFence(journal, claimer, membership, clock)
         self._pool = SlotPool(fleet, self._fence, clock)
         self._limits = RequestLimits(membership, clock)
-        peers = PeerChoice(journal, membership, fleet, clock)
-        self._dispatcher = Dispatcher(self._pool, peers, backends, link, clock)
-        self._once = AtMostOnce(
+        peer_selector = PeerSelector(journal, membership, fleet, clock)
+        self._dispatcher = Dispatcher(self._pool, peer_selector, backends, link, clock)
+        self._at_most_once = AtMostOnceExecutor(
             journal, membership, link, clock, self._dispatcher.dispatch
         )
         self._lock = threading.Lock()
         self._is_draining = False
-        self._callers = 0
-        self._forwarded = 0
+        self._caller_requests = 0
+        self._forwarded_requests = 0
 
     def execute(self, request: ForwardedRequest) -> Outcome:
-        """Execute a caller's request here or through a peer."""
+        """Execute a caller's request here or through a peer.
+
+        :return: the answer, or why there is none and whether it may have run.
+        """
         with self._lock:
             if self._is_draining:
-                return Err(_draining())
-            self._callers += 1
+                return Err(_draining_failure())
+            self._caller_requests += 1
         try:
             return self._execute(request)
         finally:
             with self._lock:
-                self._callers -= 1
+                self._caller_requests -= 1
+
+    def execute_forwarded(self, request: ForwardedRequest) -> Outcome:
+        """Execute a request that a peer forwarded.
 
-    def execute_here(self, request: ForwardedRequest) -> Outcome:
-        """Execute a peer's request on an owned backend server only."""
+        It runs on an owned backend server. Only a request with a ticket or
+        key may be forwarded once more.
+        """
         with self._lock:
             if self._is_draining:
-                return Err(_draining())
-            if self._forwarded >= FORWARDED_MAX:
-                return Err(_too_many_forwarded())
-            self._forwarded += 1
+                return Err(_draining_failure())
+            if self._forwarded_requests >= MAX_FORWARDED_REQUESTS:
+                return Err(_forwarded_limit_failure())
+            self._forwarded_requests += 1
         try:
             return self._execute_forwarded(request)
         finally:
             with self._lock:
-                self._forwarded -= 1
+                self._forwarded_requests -= 1
 
     def issue_ticket(self, entry: str) -> Result[Ticket, Failure]:
-        """Return a ticket for one request of a catalogue entry."""
+        """Return a ticket for one request of a catalogue entry.
+
+        :param entry: name of the catalogue entry.
+        """
         with self._lock:
             if self._is_draining:
-                return Err(_draining())
-        return self._entry(entry).map(
-            lambda found: self._once.issue(found.name)
+                return Err(_draining_failure())
+        return self._find_entry(entry).map(
+            lambda found: self._at_most_once.issue(found.name)
         )
 
     def begin_drain(self) -> None:
-        """Refuse new requests from now on; those in flight go on."""
+        """Refuse new requests from now on; those in progress continue."""
         self._membership.leaving = True
         with self._lock:
             self._is_draining = True
 
     def in_flight(self) -> int:
-        """Return how many requests still wait for their answer."""
+        """Return the number of requests in progress."""
         with self._lock:
-            return self._callers + self._forwarded
+            return self._caller_requests + self._forwarded_requests
 
     def free_slots(self, unit: str) -> int:
-        """Return free slots of an owned group."""
+        """Return the free slots of an owned group of backend servers."""
         return self._pool.free_slots(unit)
 
     def loads(self) -> tuple[UnitLoad, ...]:
@@ -131,20 +141,20 @@
         with self._lock:
             counts = {
                 "draining": self._is_draining,
-                "callers": self._callers,
-                "forwarded": self._forwarded,
+                "callers": self._caller_requests,
+                "forwarded": self._forwarded_requests,
             }
         return {
             **counts,
-            "units": sorted(self._fence.units()),
+            "units": sorted(self._fence.usable_units()),
             "limits": self._limits.dump(),
-            "remembered": self._once.dump(),
+            "remembered": self._at_most_once.dump(),
             **self._pool.dump(),
         }
 
     def _execute(self, request: ForwardedRequest) -> Outcome:
         started_ms = self._clock.now_ms()
-        found = self._entry(request.entry)
+        found = self._find_entry(request.entry)
         if isinstance(found, Err):
             return found
         entry = found.ok_value
@@ -154,7 +164,7 @@
             return Err(refusal)
         try:
             return self._run(
-                Task(entry, request, deadline_ms, may_forward=True),
+                RoutedRequest(entry, request, deadline_ms, may_forward=True),
                 is_forwarded=False,
             )
         finally:
@@ -162,66 +172,70 @@
             self._limits.finish(entry, duration_ms)
 
     def _execute_forwarded(self, request: ForwardedRequest) -> Outcome:
-        found = self._entry(request.entry)
+        found = self._find_entry(request.entry)
         if isinstance(found, Err):
             return found
         deadline_ms = self._clock.now_ms() + request.timeout_ms
-        # The holder of a ticket or key may own no server of the entry.
+        # The instance that must run a ticketed or keyed request may own no
+        # backend server of the entry.
         may_forward = bool(request.ticket or request.key)
         return self._run(
-            Task(found.ok_value, request, deadline_ms, may_forward),
+            RoutedRequest(found.ok_value, request, deadline_ms, may_forward),
             is_forwarded=True,
         )
 
-    def _run(self, task: Task, *, is_forwarded: bool) -> Outcome:
-        request = task.request
+    def _run(self, routed: RoutedRequest, *, is_forwarded: bool) -> Outcome:
+        request = routed.request
         if request.ticket and request.key:
             return Err(
                 not_run(
-                    FailureCode.INVALID, "both a ticket and a key are given"
+                    FailureCode.INVALID,
+                    "the request has a ticket and an idempotency key; only "
+                    "one of them is allowed",
                 )
             )
         if request.ticket:
-            return self._once.run_ticket(task, is_forwarded=is_forwarded)
+            return self._at_most_once.run_ticket(routed, is_forwarded=is_forwarded)
         if request.key:
-            return self._once.run_key(task, is_forwarded=is_forwarded)
-        return self._dispatcher.dispatch(task)
+            return self._at_most_once.run_key(routed, is_forwarded=is_forwarded)
+        return self._dispatcher.dispatch(routed)
 
-    def _entry(self, name: str) -> Result[CatalogueEntry, Failure]:
+    def _find_entry(self, name: str) -> Result[CatalogueEntry, Failure]:
         with self._journal.reading() as state:
             versioned = state.catalogue_by_name.get(name)
         if versioned is None:
-            return Err(self._unknown(name))
+            return Err(self._unknown_entry(name))
         if not versioned.entry.app:
             return Err(
                 not_run(
                     FailureCode.INVALID,
-                    f"{name} takes jobs, not requests",
+                    f"catalogue entry {name!r} accepts jobs, not requests",
                 )
             )
         return Ok(versioned.entry)
 
-    def _unknown(self, name: str) -> Failure:
+    def _unknown_entry(self, name: str) -> Failure:
         if self._journal.last_read_ms is None:
             return not_run(
                 FailureCode.UNAVAILABLE,
-                "the catalogue is not known here yet",
-                START_RETRY_MS,
+                "this instance has not read the catalogue yet",
+                START_RETRY_AFTER_MS,
             )
-        return not_run(FailureCode.NOT_FOUND, f"no entry {name!r}")
+        return not_run(FailureCode.NOT_FOUND, f"no catalogue entry {name!r}")
 
 
-def _draining() -> Failure:
+def _draining_failure() -> Failure:
     return not_run(
         FailureCode.SHUTTING_DOWN,
-        "this instance is shutting down",
-        DRAIN_RETRY_MS,
+        "this instance is shutting down; send the request to another one",
+        DRAIN_RETRY_AFTER_MS,
     )
 
 
-def _too_many_forwarded() -> Failure:
+def _forwarded_limit_failure() -> Failure:
     return not_run(
         FailureCode.OVERLOADED,
-        f"{FORWARDED_MAX} requests of peers are in progress here",
-        FORWARDED_RETRY_MS,
+        f"{MAX_FORWARDED_REQUESTS} requests forwarded by peers are in "
+        "progress here already, which is the limit",
+        FORWARDED_RETRY_AFTER_MS,
     )
--- a/src/magnoliapitch/request/server_state.py
+++ b/src/magnoliapitch/request/server_state.py
@@ -1,4 +1,4 @@
-"""What an entry instance knows of one backend server."""
+"""Slots, circuit breaker and departure of one backend server."""
 
 from __future__ import annotations
 
@@ -13,25 +13,29 @@
     from magnoliapitch.membership.instance import InstanceInfo
 
 
-FAILURES_TO_OPEN = 3
+FAILURE_COUNT_TO_OPEN = 3
 BACKOFF_FIRST_MS = 500
 BACKOFF_MAX_MS = 15_000
-LEAVING_HOLD_MS = 60_000
+LEAVING_EXCLUSION_MS = 60_000
 
 
-class ServerState:
-    """Slots, circuit breaker and departure of one backend server.
+class BackendServerState:
+    """State of one backend server as this entry instance sees it.
 
-    A request that timed out may still hold its slot on the server, so the
-    slot stays taken for as long again as the request was given.
+    A request that failed, but may have run, may still occupy its slot on the
+    server. So the slot counts as taken for the request's timeout once more.
 
-    :ivar in_flight: requests sent and not yet answered.
+    The circuit breaker opens on a refusal, or after
+    ``FAILURE_COUNT_TO_OPEN`` other failures in a row. It then admits no
+    request during a backoff, and one probe at a time after it.
+
+    :ivar in_flight: number of requests sent and not yet answered.
     """
 
     __slots__ = (
         "_backoff_ms",
-        "_failures",
-        "_held_until_ms",
+        "_consecutive_failures",
+        "_occupied_until_ms",
         "_leaving_until_ms",
         "_open_until_ms",
         "_url",
@@ -41,81 +45,84 @@
     def __init__(self, url: str) -> None:
         self.in_flight = 0
         self._url = url
-        self._held_until_ms: list[int] = []
-        self._failures = 0
+        self._occupied_until_ms: list[int] = []
+        self._consecutive_failures = 0
         self._backoff_ms = BACKOFF_FIRST_MS
         self._open_until_ms: int | None = None
         self._leaving_until_ms = 0
 
     @property
-    def is_suspect(self) -> bool:
-        """Whether the next request is a probe after failures."""
+    def needs_probe(self) -> bool:
+        """Whether the breaker is open, so that the next request is a probe."""
         return self._open_until_ms is not None
 
     def free_slots(self, info: InstanceInfo, now_ms: int) -> int:
-        """Return how many more requests the server may be sent now."""
+        """Return the number of requests that may be sent to the server now."""
         if now_ms < self._leaving_until_ms:
             return 0
-        limit = min(info.slots, info.connections)
+        max_in_flight = min(info.slots, info.connections)
         if self._open_until_ms is not None:
             if now_ms < self._open_until_ms:
                 return 0
-            limit = min(limit, 1)
-        return max(limit - self._taken(now_ms), 0)
+            max_in_flight = min(max_in_flight, 1)
+        return max(max_in_flight - self._taken_slots(now_ms), 0)
+
+    def update_url(self, info: InstanceInfo) -> None:
+        """Reset the state if the server has another URL than before.
 
-    def refresh(self, info: InstanceInfo) -> None:
-        """Forget what was learnt of an earlier server of the same name."""
+        A server that was replaced keeps its name and gets a new URL.
+        """
         if info.url == self._url:
             return
         self._url = info.url
         self._leaving_until_ms = 0
-        self._close()
+        self._close_breaker()
 
-    def succeed(self) -> None:
-        """Note a complete answer."""
-        self._close()
+    def note_success(self) -> None:
+        """Close the circuit breaker after a complete answer."""
+        self._close_breaker()
 
-    def announce_leaving(self, now_ms: int) -> None:
-        """Note that the server itself said that it is leaving."""
-        self._leaving_until_ms = now_ms + LEAVING_HOLD_MS
+    def note_leaving(self, now_ms: int) -> None:
+        """Send no requests for a while to a server that says it is leaving."""
+        self._leaving_until_ms = now_ms + LEAVING_EXCLUSION_MS
 
-    def fail(self, failure: Failure, held_ms: int, now_ms: int) -> None:
-        """Note a failed request.
+    def note_failure(self, failure: Failure, occupied_ms: int, now_ms: int) -> None:
+        """Update the state after a failed request.
 
-        :param held_ms: how long the server may go on with the request.
+        :param occupied_ms: how long the request may still occupy its slot.
         """
         if failure.verdict is not Verdict.NOT_RUN:
-            self._held_until_ms.append(now_ms + held_ms)
+            self._occupied_until_ms.append(now_ms + occupied_ms)
         if failure.code is FailureCode.SHUTTING_DOWN:
-            self.announce_leaving(now_ms)
+            self.note_leaving(now_ms)
             return
-        self._failures += 1
+        self._consecutive_failures += 1
         is_refused = failure.verdict is Verdict.NOT_RUN
-        if is_refused or self._failures >= FAILURES_TO_OPEN:
-            self._open(now_ms)
+        if is_refused or self._consecutive_failures >= FAILURE_COUNT_TO_OPEN:
+            self._open_breaker(now_ms)
 
     def dump(self, now_ms: int) -> dict[str, object]:
         """Return the server's part of the state dump."""
         return {
             "in_flight": self.in_flight,
-            "held": len(self._held_until_ms),
-            "failures": self._failures,
+            "held": len(self._occupied_until_ms),
+            "failures": self._consecutive_failures,
             "leaving": now_ms < self._leaving_until_ms,
             "open": self._open_until_ms is not None,
         }
 
-    def _taken(self, now_ms: int) -> int:
-        if self._held_until_ms:
-            self._held_until_ms = [
-                until for until in self._held_until_ms if until > now_ms
+    def _taken_slots(self, now_ms: int) -> int:
+        if self._occupied_until_ms:
+            self._occupied_until_ms = [
+                until for until in self._occupied_until_ms if until > now_ms
             ]
-        return self.in_flight + len(self._held_until_ms)
+        return self.in_flight + len(self._occupied_until_ms)
 
-    def _open(self, now_ms: int) -> None:
+    def _open_breaker(self, now_ms: int) -> None:
         self._open_until_ms = now_ms + self._backoff_ms
         self._backoff_ms = min(2 * self._backoff_ms, BACKOFF_MAX_MS)
 
-    def _close(self) -> None:
-        self._failures = 0
+    def _close_breaker(self) -> None:
+        self._consecutive_failures = 0
         self._backoff_ms = BACKOFF_FIRST_MS
         self._open_until_ms = None
--- a/src/magnoliapitch/request/ticket.py
+++ b/src/magnoliapitch/request/ticket.py
@@ -1,7 +1,8 @@
-"""Tickets: each names the incarnation that alone may run one request.
+"""Tickets, each of which lets one incarnation run one request at most once.
 
-A ticket carries all that its issuer has to know, signed with a key that
-lives as long as the incarnation, so nothing is stored until it is used.
+A ticket contains everything that its issuer needs to check it, signed with
+a key that exists only as long as the incarnation. So the issuer stores
+nothing until the ticket is used.
 """
 
 from __future__ import annotations
@@ -29,15 +30,20 @@
 TICKET_TTL_MS = 300_000
 SECRET_BYTES = 32
 NONCE_BYTES = 12
-TICKET_PARTS = 4
-TICKET_MAX_LENGTH = 256
+TICKET_PART_COUNT = 4
+TICKET_MAX_CHARS = 256
 
 
 class Ticket(NamedTuple):
     """A parsed ticket.
 
+    Its text is ``INCARNATION.NONCE.EXPIRES_MS.SIGNATURE``.
+
     :param incarnation: issuer, the only one that may run the request.
-    :param expires_ms: end of validity by the issuer's monotonic clock.
+    :param nonce: random hexadecimal digits, unique to the ticket.
+    :param expires_ms: end of validity by the issuer's monotonic clock, in
+        milliseconds.
+    :param signature: HMAC of nonce, expiry and catalogue entry.
     """
 
     incarnation: str
@@ -47,24 +53,30 @@
 
     @classmethod
     def parse(cls, text: str) -> Result[Ticket, Failure]:
-        """Read a ticket as callers send it."""
+        """Parse a ticket from its text; the signature is not checked."""
         parts = text.split(".")
-        is_ticket = (
-            len(text) <= TICKET_MAX_LENGTH
+        is_well_formed = (
+            len(text) <= TICKET_MAX_CHARS
             and text.isascii()
-            and len(parts) == TICKET_PARTS
+            and len(parts) == TICKET_PART_COUNT
             and parts[2].isdigit()
         )
-        if not is_ticket:
-            return Err(not_run(FailureCode.INVALID, "this is no ticket"))
+        if not is_well_formed:
+            return Err(
+                not_run(
+                    FailureCode.INVALID,
+                    "the ticket is malformed; expected one that was issued "
+                    "by POST /v1/tickets/ENTRY",
+                )
+            )
         return Ok(cls(parts[0], parts[1], int(parts[2]), parts[3]))
 
     def __str__(self) -> str:
         return ".".join(map(str, self))
 
 
-class TicketOffice:
-    """Issues and checks the tickets of one incarnation."""
+class TicketIssuer:
+    """Issues and verifies the tickets of one incarnation."""
 
     def __init__(self, incarnation: str, clock: Clock) -> None:
         self._incarnation = incarnation
@@ -82,11 +94,12 @@
         return unsigned._replace(signature=self._sign(unsigned, entry))
 
     def check(self, ticket: Ticket, entry: str) -> Failure | None:
-        """Return why a ticket of this incarnation cannot be used."""
+        """Return why a ticket of this incarnation is invalid, if it is."""
         expected = self._sign(ticket, entry)
         if not hmac.compare_digest(expected, ticket.signature):
             return not_run(
-                FailureCode.INVALID, f"the ticket was not issued for {entry}"
+                FailureCode.INVALID,
+                f"the ticket was not issued for catalogue entry {entry!r}",
             )
         if ticket.expires_ms <= self._clock.now_ms():
             return may_have_run(FailureCode.EXPIRED, "the ticket has expired")
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -205,7 +205,7 @@
         scene.network.cuts.add((actor.address, other.address))
         scene.network.cuts.add((other.address, actor.address))
     scene.run(30_000, 500)
-    assert actor.core.claimer.owned() == {}
+    assert actor.core.claimer.owned_claims() == {}
     assert actor.outside.append(b"") == actor.outside.instances()
     assert actor.outside.append(b"").err() == AWAY
     actor.outside.log_away = False
--- a/tests/ownership/test_fence.py
+++ b/tests/ownership/test_fence.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from magnoliapitch.ownership.fence import CONFIRM_WINDOW_MS
+from magnoliapitch.ownership.fence import CONFIRMATION_MAX_AGE_MS
 from magnoliapitch.ownership.fence import FencePhase
 from magnoliapitch.ownership.fence import OwnerClaim
 from magnoliapitch.ownership.fence import WorkerFence
@@ -13,10 +13,10 @@
 from magnoliapitch.worker.lease import WorkerView
 
 
-SECOND = OwnerClaim("b", 2)
+SECOND_OWNER = OwnerClaim("b", 2)
 
 
-def view(
+def worker_view(
     now_ms: int, *grants: LeaseGrant, boot_id: str = "boot-1"
 ) -> WorkerView:
     leases = tuple(
@@ -33,79 +33,79 @@
     return WorkerView("w", boot_id, now_ms, leases)
 
 
-def claimed(
+def fence_with_claim(
     owner: OwnerClaim, now_ms: int = 100
 ) -> tuple[WorkerFence, LeaseGrant]:
-    fence = WorkerFence(owner).observe(view(now_ms), 0)
+    fence = WorkerFence(owner).observe(worker_view(now_ms), 0)
     fence, grant = fence.place_claim()
-    return fence.observe(view(now_ms, grant), 0), grant
+    return fence.observe(worker_view(now_ms, grant), 0), grant
 
 
-def test_fence_waits_a_ttl_from_the_first_sight_of_its_claim() -> None:
-    fence, grant = claimed(SECOND)
+def test_fence_waits_a_ttl_from_the_first_view_with_its_claim() -> None:
+    fence, grant = fence_with_claim(SECOND_OWNER)
     assert fence.phase is FencePhase.SETTLING
-    later = grant._replace(expires_at_ms=10 * TTL_MS)
-    assert not fence.observe(view(99 + TTL_MS, later), 0).is_open
-    fence = fence.observe(view(100 + TTL_MS, later), 0)
+    renewed = grant._replace(expires_at_ms=10 * TTL_MS)
+    assert not fence.observe(worker_view(99 + TTL_MS, renewed), 0).is_open
+    fence = fence.observe(worker_view(100 + TTL_MS, renewed), 0)
     assert fence.is_open
 
 
-def test_fence_starts_again_when_its_claim_lapsed() -> None:
-    fence, grant = claimed(SECOND)
-    later = grant._replace(expires_at_ms=10 * TTL_MS)
-    fence = fence.observe(view(100 + TTL_MS, later), 0)
-    fence = fence.observe(view(200 + TTL_MS), 0)
+def test_fence_starts_over_when_its_claim_lease_expired() -> None:
+    fence, grant = fence_with_claim(SECOND_OWNER)
+    renewed = grant._replace(expires_at_ms=10 * TTL_MS)
+    fence = fence.observe(worker_view(100 + TTL_MS, renewed), 0)
+    fence = fence.observe(worker_view(200 + TTL_MS), 0)
     assert fence.phase is FencePhase.UNCLAIMED
-    fence, again = fence.place_claim()
-    assert again.lease_id != grant.lease_id
-    fence = fence.observe(view(200 + TTL_MS, again), 0)
+    fence, second_grant = fence.place_claim()
+    assert second_grant.lease_id != grant.lease_id
+    fence = fence.observe(worker_view(200 + TTL_MS, second_grant), 0)
     assert fence.phase is FencePhase.SETTLING
 
 
-def test_fence_grants_no_longer_than_its_claim_and_its_view() -> None:
-    fence, grant = claimed(OwnerClaim("a", 1))
-    assert fence.grant_ms() == 100 + TTL_MS
-    fence = fence.observe(view(5_000, grant), 0)
-    assert fence.grant_ms() == grant.expires_at_ms
-    longer = grant._replace(expires_at_ms=10 * TTL_MS)
-    fence = fence.observe(view(6_000, longer), 0)
-    assert fence.grant_ms() == 6_000 + TTL_MS
+def test_fence_bounds_grants_by_its_claim_lease_and_its_view() -> None:
+    fence, grant = fence_with_claim(OwnerClaim("a", 1))
+    assert fence.grant_expiry_ms() == 100 + TTL_MS
+    fence = fence.observe(worker_view(5_000, grant), 0)
+    assert fence.grant_expiry_ms() == grant.expires_at_ms
+    renewed = grant._replace(expires_at_ms=10 * TTL_MS)
+    fence = fence.observe(worker_view(6_000, renewed), 0)
+    assert fence.grant_expiry_ms() == 6_000 + TTL_MS
 
 
 def test_fence_yields_to_any_lease_of_a_higher_epoch() -> None:
-    fence, grant = claimed(OwnerClaim("a", 1))
+    fence, grant = fence_with_claim(OwnerClaim("a", 1))
     other = LeaseGrant("job/0/0", 2, 50_000)
     assert (
-        fence.observe(view(200, grant, other), 0).phase is FencePhase.YIELDED
+        fence.observe(worker_view(200, grant, other), 0).phase is FencePhase.YIELDED
     )
 
 
-def test_fence_skips_the_wait_where_nothing_can_be_in_flight() -> None:
-    assert claimed(OwnerClaim("a", 1))[0].is_open
+def test_fence_skips_the_wait_if_no_grant_can_be_in_flight() -> None:
+    assert fence_with_claim(OwnerClaim("a", 1))[0].is_open
     released = OwnerClaim("c", 3, after_release=True)
-    mark = LeaseGrant("claim:2:b:1", 2, 9_000, LeaseKind.CLAIM)
-    fence = WorkerFence(released).observe(view(100, mark), 0)
+    earlier_claim = LeaseGrant("claim:2:b:1", 2, 9_000, LeaseKind.CLAIM)
+    fence = WorkerFence(released).observe(worker_view(100, earlier_claim), 0)
     fence, grant = fence.place_claim()
-    assert fence.observe(view(100, mark, grant), 0).is_open
-    assert not fence.observe(view(100, grant), 0).is_open
+    assert fence.observe(worker_view(100, earlier_claim, grant), 0).is_open
+    assert not fence.observe(worker_view(100, grant), 0).is_open
 
 
 def test_fence_places_a_claim_only_soon_after_a_read_of_the_log() -> None:
-    fence = WorkerFence(SECOND).observe(view(1), CONFIRM_WINDOW_MS)
+    fence = WorkerFence(SECOND_OWNER).observe(worker_view(1), CONFIRMATION_MAX_AGE_MS)
     assert not fence.may_place_claim(None)
     assert not fence.may_place_claim(0)
     assert fence.may_place_claim(1)
 
 
-def test_fence_forgets_a_boot_and_ignores_an_older_view() -> None:
-    fence, _ = claimed(OwnerClaim("a", 1))
-    assert fence.observe(view(50), 9) is fence
-    fence = fence.observe(view(3, boot_id="boot-2"), 0)
+def test_fence_resets_on_a_worker_restart_and_ignores_older_views() -> None:
+    fence, _ = fence_with_claim(OwnerClaim("a", 1))
+    assert fence.observe(worker_view(50), 9) is fence
+    fence = fence.observe(worker_view(3, boot_id="boot-2"), 0)
     assert fence.phase is FencePhase.UNCLAIMED
     assert fence.place_claim()[1].boot_id == "boot-2"
 
 
-def test_fence_counts_an_expiry_as_passed_only_beyond_the_drift() -> None:
-    fence = WorkerFence(SECOND).observe(view(1_000), 7_000)
-    assert not fence.surely_reached(11_000, 17_000)
-    assert fence.surely_reached(11_000, 17_011)
+def test_fence_allows_for_clock_drift_before_an_expiry_counts() -> None:
+    fence = WorkerFence(SECOND_OWNER).observe(worker_view(1_000), 7_000)
+    assert not fence.has_worker_clock_passed(11_000, 17_000)
+    assert fence.has_worker_clock_passed(11_000, 17_011)
--- a/tests/request/conftest.py
+++ b/tests/request/conftest.py
@@ -39,7 +39,7 @@
 SETTLE_ROUNDS = 6
 
 
-class Shape(NamedTuple):
+class RequestCellShape(NamedTuple):
     zones: tuple[str, ...] = ("norte",)
     entries_per_zone: int = 1
     backends: int = 1
@@ -47,15 +47,15 @@
 
 
 DEFAULT_LIMITS = Limits()
-DEFAULT_SHAPE = Shape()
+DEFAULT_SHAPE = RequestCellShape()
 
 
 class RequestCell:
-    """Entry cores, connected in memory, whose steps the test drives."""
+    """Entry instances connected in memory; the test drives their steps."""
 
-    def __init__(self, shape: Shape, clock: Clock) -> None:
+    def __init__(self, shape: RequestCellShape, clock: Clock) -> None:
         self.clock = clock
-        self.stand = Cell(
+        self.deployment = Cell(
             CellShape(
                 shape.zones,
                 APP,
@@ -66,13 +66,13 @@
             ),
             clock,
         )
-        self.backends = self.stand.backends
+        self.backends = self.deployment.backends
         self.network = StandinNetwork()
         self.cores: list[EntryCore] = []
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
         for name, idempotent in (("seat-check", True), ("fee-match", False)):
-            self.put(name, idempotent=idempotent)
+            self.put_entry(name, idempotent=idempotent)
         for zone in shape.zones:
             for _ in range(shape.entries_per_zone):
                 self.add_core(zone)
@@ -85,9 +85,9 @@
         )
         settings = settings._replace(address=f"10.0.0.{number}")
         adapters = Adapters(
-            self.stand.log,
-            self.stand.instance_list,
-            self.stand.workers,
+            self.deployment.log,
+            self.deployment.instance_list,
+            self.deployment.workers,
             self.backends,
         )
         address = f"{settings.address}:{settings.listeners.peer_port}"
@@ -99,7 +99,7 @@
         self.cores.append(core)
         return core
 
-    def put(
+    def put_entry(
         self,
         name: str,
         version: int = 0,
@@ -117,7 +117,7 @@
             PATIENCE_MS,
             idempotent=idempotent,
         )
-        self.stand.log.append(encode_record((CataloguePut(entry, version),)))
+        self.deployment.log.append(encode_record((CataloguePut(entry, version),)))
 
     def settle(self, rounds: int = SETTLE_ROUNDS) -> None:
         for _ in range(rounds):
@@ -141,12 +141,12 @@
     def server_ids(self, zone: str = "norte") -> list[str]:
         return sorted(
             info.instance_id
-            for info in self.stand.instance_list.by_id.values()
+            for info in self.deployment.instance_list.by_id.values()
             if info.app and info.zone == zone
         )
 
     def mark_leaving(self, server_id: str) -> None:
-        infos = self.stand.instance_list.by_id
+        infos = self.deployment.instance_list.by_id
         infos[server_id] = infos[server_id]._replace(
             state=InstanceState.LEAVING
         )
@@ -174,7 +174,7 @@
     made: list[RequestCell] = []
 
     def make(
-        shape: Shape = DEFAULT_SHAPE, *, threads: bool = False
+        shape: RequestCellShape = DEFAULT_SHAPE, *, threads: bool = False
     ) -> RequestCell:
         clock = MonotonicClock() if threads else ManualClock(1_000)
         made.append(RequestCell(shape, clock))
--- a/tests/request/test_at_most_once.py
+++ b/tests/request/test_at_most_once.py
@@ -14,7 +14,7 @@
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
 from tests.request.conftest import PATIENCE_MS
-from tests.request.conftest import Shape
+from tests.request.conftest import RequestCellShape
 
 
 if TYPE_CHECKING:
@@ -27,9 +27,9 @@
 
 
 ENTRY = "fee-match"
-TWO = Shape(("norte", "centro"))
-JOIN_S = 30
-LOST = BackendFault.TRUNCATE_ANSWER
+TWO_ZONES = RequestCellShape(("norte", "centro"))
+JOIN_TIMEOUT_S = 30
+ANSWER_LOST = BackendFault.TRUNCATE_ANSWER
 
 
 def _ticket(cell: RequestCell, core: int = 0, entry: str = ENTRY) -> str:
@@ -43,40 +43,40 @@
     return cell.cores[core].router.execute(request)
 
 
-def _runs(cell: RequestCell) -> int:
+def _run_count(cell: RequestCell) -> int:
     return len(cell.backends.history)
 
 
-def _head(cell: RequestCell) -> int:
-    return cell.stand.log.read(0, 1).unwrap().head
+def _log_head(cell: RequestCell) -> int:
+    return cell.deployment.log.read(0, 1).unwrap().head
 
 
-def _leave(cell: RequestCell, core: int) -> None:
+def _remove_instance(cell: RequestCell, core: int) -> None:
     identity = cell.cores[core].identity
     record = encode_record((EntryLeave(identity.incarnation),))
-    cell.stand.log.append(record)
+    cell.deployment.log.append(record)
     cell.cores.pop(core)
     cell.settle()
 
 
 def test_ticket_runs_once_through_any_entry(make_cell: MakeCell) -> None:
-    cell = make_cell(TWO)
+    cell = make_cell(TWO_ZONES)
     ticket = _ticket(cell)
     answers = [_send(cell, core, ticket=ticket).unwrap() for core in (1, 0, 1)]
     assert answers[0] == answers[1] == answers[2]
-    assert _runs(cell) == 1
+    assert _run_count(cell) == 1
 
 
-def test_ticket_stays_in_doubt_when_its_answer_was_lost(
+def test_ticket_reports_may_have_run_after_a_lost_answer(
     make_cell: MakeCell,
 ) -> None:
-    cell = make_cell(TWO)
+    cell = make_cell(TWO_ZONES)
     ticket = _ticket(cell)
-    cell.backends.add_fault("norte-runner-1", LOST)
+    cell.backends.add_fault("norte-runner-1", ANSWER_LOST)
     for core in (0, 1, 0):
         failure = _send(cell, core, ticket=ticket).unwrap_err()
         assert failure.verdict is Verdict.MAY_HAVE_RUN
-    assert _runs(cell) == 1
+    assert _run_count(cell) == 1
 
 
 def test_ticket_that_was_not_run_can_be_used_again(
@@ -92,27 +92,27 @@
     cell.clock.advance(100_000)
     cell.settle()
     _send(cell, 0, ticket=ticket).unwrap()
-    assert _runs(cell) == 1
+    assert _run_count(cell) == 1
 
 
 @pytest.mark.parametrize("how", ["left", "unreachable"])
 def test_ticket_of_a_lost_issuer_is_never_run_elsewhere(
     make_cell: MakeCell, how: str
 ) -> None:
-    cell = make_cell(TWO)
+    cell = make_cell(TWO_ZONES)
     ticket = _ticket(cell, core=1)
     if how == "left":
-        _leave(cell, 1)
+        _remove_instance(cell, 1)
     else:
         cell.network.cuts.add(("10.0.0.1:8082", "10.0.0.2:8082"))
     failure = _send(cell, 0, ticket=ticket).unwrap_err()
     assert failure.verdict is Verdict.MAY_HAVE_RUN
-    assert _runs(cell) == 0
+    assert _run_count(cell) == 0
 
 
-def test_ticket_works_without_the_log(make_cell: MakeCell) -> None:
-    cell = make_cell(TWO)
-    cell.stand.log.down = True
+def test_ticket_runs_while_the_log_is_down(make_cell: MakeCell) -> None:
+    cell = make_cell(TWO_ZONES)
+    cell.deployment.log.down = True
     _send(cell, 0, ticket=_ticket(cell)).unwrap()
 
 
@@ -135,7 +135,7 @@
     cell.settle()
     failure = _send(cell, 0, ticket=ticket).unwrap_err()
     assert failure.verdict is Verdict.MAY_HAVE_RUN
-    assert _runs(cell) == 1
+    assert _run_count(cell) == 1
 
 
 def test_ticket_and_key_together_are_refused(make_cell: MakeCell) -> None:
@@ -145,7 +145,7 @@
 
 
 def test_key_runs_once_through_any_entry(make_cell: MakeCell) -> None:
-    cell = make_cell(TWO, threads=True)
+    cell = make_cell(TWO_ZONES, threads=True)
     cell.run_in_background()
     cell.backends.duration_ms = 20
     outcomes: list[Outcome] = []
@@ -158,51 +158,51 @@
         for number in range(8)
     ]
     for thread in threads:
-        thread.join(JOIN_S)
+        thread.join(JOIN_TIMEOUT_S)
     assert len({outcome.unwrap().body for outcome in outcomes}) == 1
-    assert _runs(cell) == 1
+    assert _run_count(cell) == 1
     failure = _send(cell, 1, number=2, key="k1").unwrap_err()
     assert failure.code is FailureCode.CONFLICT
     assert failure.verdict is Verdict.NOT_RUN
     _send(cell, 1, number=2, key="k2").unwrap()
 
 
-def test_key_given_up_leads_to_no_run_when_it_is_folded_late(
+def test_key_that_timed_out_is_not_run_when_its_intent_is_applied_late(
     make_cell: MakeCell,
 ) -> None:
-    cell = make_cell(TWO, threads=True)
+    cell = make_cell(TWO_ZONES, threads=True)
     outcomes: list[Outcome] = []
-    head = _head(cell)
+    head = _log_head(cell)
     attempt = cell.spawn(lambda: outcomes.append(_send(cell, 0, key="k")))
-    while _head(cell) == head:
+    while _log_head(cell) == head:
         cell.cores[0].journal.append_step()
-    attempt.join(JOIN_S)
+    attempt.join(JOIN_TIMEOUT_S)
     failure = outcomes[0].unwrap_err()
     assert failure.verdict is Verdict.NOT_RUN
     assert "/v1/tickets" in failure.detail
     cell.run_in_background()
-    scoped = f"{ENTRY}/k"
+    scoped_key = f"{ENTRY}/k"
 
-    def is_folded() -> bool:
+    def is_intent_applied() -> bool:
         with cell.cores[1].journal.reading() as state:
-            return scoped in state.intents_by_key
+            return scoped_key in state.intents_by_key
 
     for _ in range(1_000):
-        if is_folded():
+        if is_intent_applied():
             break
         time.sleep(0.02)
-    assert is_folded()
-    assert _runs(cell) == 0
+    assert is_intent_applied()
+    assert _run_count(cell) == 0
     _send(cell, 1, key="k").unwrap()
     _send(cell, 0, key="k").unwrap()
-    assert _runs(cell) == 1
+    assert _run_count(cell) == 1
 
 
-def test_key_is_refused_at_once_while_the_log_is_away(
+def test_key_is_refused_at_once_while_the_log_is_down(
     make_cell: MakeCell,
 ) -> None:
     cell = make_cell()
-    cell.stand.log.down = True
+    cell.deployment.log.down = True
     assert isinstance(cell.clock, ManualClock)
     cell.clock.advance(10 * PATIENCE_MS)
     cell.settle()
@@ -214,14 +214,14 @@
 def test_key_of_a_lost_holder_is_never_run_elsewhere(
     make_cell: MakeCell,
 ) -> None:
-    cell = make_cell(TWO, threads=True)
+    cell = make_cell(TWO_ZONES, threads=True)
     cell.run_in_background()
-    cell.backends.add_fault("centro-runner-1", LOST)
+    cell.backends.add_fault("centro-runner-1", ANSWER_LOST)
     failure = _send(cell, 1, key="k").unwrap_err()
     assert failure.verdict is Verdict.MAY_HAVE_RUN
     assert _send(cell, 0, key="k").unwrap_err() == failure
     cell.stop()
-    _leave(cell, 1)
+    _remove_instance(cell, 1)
     failure = _send(cell, 0, key="k").unwrap_err()
     assert failure.verdict is Verdict.MAY_HAVE_RUN
-    assert _runs(cell) == 1
+    assert _run_count(cell) == 1
--- a/tests/request/test_history.py
+++ b/tests/request/test_history.py
@@ -15,7 +15,7 @@
 from magnoliapitch.history.request import Started
 from magnoliapitch.history.request import check_requests
 from magnoliapitch.standin.backend import BackendFault
-from tests.request.conftest import Shape
+from tests.request.conftest import RequestCellShape
 
 
 if TYPE_CHECKING:
@@ -26,18 +26,18 @@
 
 SEEDS = range(60)
 STEPS = 60
-SHAPE = Shape(("norte", "centro"), entries_per_zone=2, backends=2)
+SHAPE = RequestCellShape(("norte", "centro"), entries_per_zone=2, backends=2)
 
 
 class Schedule:
-    """Requests with tickets and without among faults drawn from a seed."""
+    """Requests with and without tickets, mixed with faults, from a seed."""
 
     def __init__(self, cell: RequestCell, seed: int) -> None:
         self.cell = cell
         self.random = random.Random(seed)
         self.events: list[RequestEvent] = []
-        self.alive = list(range(len(cell.cores)))
-        self.names: list[tuple[str, str]] = []
+        self.running = list(range(len(cell.cores)))
+        self.sent: list[tuple[str, str]] = []
         cell.backends.observer = self.observe
 
     def observe(self, request_id: str, server: str, is_start: bool) -> None:
@@ -46,29 +46,29 @@
 
     def run(self) -> None:
         actions = (
-            *[self.ask] * 6,
-            *[self.repeat] * 4,
+            *[self.send_new] * 6,
+            *[self.send_again] * 4,
             self.break_server,
-            self.cut,
+            self.toggle_link,
             self.toggle_log,
             self.pass_time,
-            self.kill,
+            self.stop_instance,
         )
         for _ in range(STEPS):
             self.random.choice(actions)()
 
-    def ask(self) -> None:
-        core = self.cell.cores[self.random.choice(self.alive)]
+    def send_new(self) -> None:
+        core = self.cell.cores[self.random.choice(self.running)]
         entry = self.random.choice(("seat-check", "fee-match"))
         ticket = ""
         if self.random.random() < 0.7:
             ticket = str(core.router.issue_ticket(entry).unwrap())
-            self.names.append((ticket, entry))
+            self.sent.append((ticket, entry))
         self.send(ticket, entry)
 
-    def repeat(self) -> None:
-        if self.names:
-            self.send(*self.random.choice(self.names))
+    def send_again(self) -> None:
+        if self.sent:
+            self.send(*self.random.choice(self.sent))
 
     def send(self, ticket: str, entry: str) -> None:
         attempt = f"r{len(self.events)}"
@@ -79,7 +79,7 @@
         self.events.append(
             Asked(attempt, name, request.body, entry == "seat-check")
         )
-        core = self.cell.cores[self.random.choice(self.alive)]
+        core = self.cell.cores[self.random.choice(self.running)]
         outcome = core.router.execute(request)
         if outcome.is_err():
             verdict = outcome.unwrap_err().verdict
@@ -94,31 +94,31 @@
         fault = self.random.choice(list(BackendFault))
         self.cell.backends.add_fault(server, fault)
 
-    def cut(self) -> None:
+    def toggle_link(self) -> None:
         addresses = sorted(self.cell.network.handlers_by_address)
         pair = self.random.choice(addresses), self.random.choice(addresses)
         self.cell.network.cuts ^= {pair}
 
     def toggle_log(self) -> None:
-        self.cell.stand.log.down = not self.cell.stand.log.down
+        self.cell.deployment.log.down = not self.cell.deployment.log.down
 
     def pass_time(self) -> None:
         assert isinstance(self.cell.clock, ManualClock)
         self.cell.clock.advance(self.random.choice((50, 1_000, 5_000)))
-        for number in self.alive:
+        for number in self.running:
             for item in self.cell.cores[number].steps():
                 item.step()
 
-    def kill(self) -> None:
-        if len(self.alive) > 2 and self.random.random() < 0.3:
-            number = self.random.choice(self.alive)
-            self.alive.remove(number)
+    def stop_instance(self) -> None:
+        if len(self.running) > 2 and self.random.random() < 0.3:
+            number = self.random.choice(self.running)
+            self.running.remove(number)
             address = self.cell.cores[number].identity.peer_address
             self.cell.network.handlers_by_address.pop(address)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_requests_keep_every_promise_among_faults(
+def test_requests_keep_every_guarantee_under_faults(
     make_cell: Callable[..., RequestCell], seed: int
 ) -> None:
     schedule = Schedule(make_cell(SHAPE), seed)
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -17,7 +17,7 @@
 from magnoliapitch.verdict import Verdict
 from tests.request.conftest import PATIENCE_MS
 from tests.request.conftest import RequestCell
-from tests.request.conftest import Shape
+from tests.request.conftest import RequestCellShape
 
 
 if TYPE_CHECKING:
@@ -26,8 +26,8 @@
     from magnoliapitch.request.dispatcher import Outcome
 
 
-TWO_ZONES = Shape(("norte", "centro"), backends=1)
-JOIN_S = 30
+TWO_ZONES = RequestCellShape(("norte", "centro"), backends=1)
+JOIN_TIMEOUT_S = 30
 
 
 def _server_of(outcome: Outcome) -> str:
@@ -48,7 +48,7 @@
     ("entry", "code"),
     [("nothing", FailureCode.NOT_FOUND), ("roster", FailureCode.INVALID)],
 )
-def test_router_refuses_what_is_no_request(
+def test_router_refuses_unknown_entries_and_entries_for_jobs(
     make_cell: Callable[..., RequestCell], entry: str, code: FailureCode
 ) -> None:
     cell = make_cell()
@@ -65,13 +65,13 @@
 def test_router_without_servers_forwards_to_the_owner(
     make_cell: Callable[..., RequestCell],
 ) -> None:
-    cell = make_cell(Shape(("norte", "centro"), entries_per_zone=2))
+    cell = make_cell(RequestCellShape(("norte", "centro"), entries_per_zone=2))
     for core in range(4):
         zone = cell.cores[core].identity.zone
         assert _server_of(cell.execute(core)).startswith(zone)
 
 
-def test_router_spills_to_another_zone_when_its_own_is_full(
+def test_router_forwards_to_another_zone_when_its_own_is_full(
     make_cell: Callable[..., RequestCell],
 ) -> None:
     cell = make_cell(TWO_ZONES)
@@ -94,15 +94,15 @@
     cell = make_cell(TWO_ZONES)
     cell.backends.down = {"norte-runner-1"}
     router = cell.cores[0].router
-    failure = router.execute_here(cell.request(1)).unwrap_err()
+    failure = router.execute_forwarded(cell.request(1)).unwrap_err()
     assert failure.verdict is Verdict.NOT_RUN
     assert cell.backends.history == []
 
 
-def test_router_moves_on_when_a_peer_is_cut_off(
+def test_router_tries_another_peer_when_one_is_unreachable(
     make_cell: Callable[..., RequestCell],
 ) -> None:
-    cell = make_cell(Shape(("norte", "centro", "sur"), backends=1))
+    cell = make_cell(RequestCellShape(("norte", "centro", "sur"), backends=1))
     cell.backends.down = {"norte-runner-1"}
     cell.network.cuts.add(("10.0.0.1:8082", "10.0.0.2:8082"))
     assert _server_of(cell.execute()).startswith("sur")
@@ -111,25 +111,25 @@
 def test_router_lets_a_request_wait_for_a_slot(
     make_cell: Callable[..., RequestCell],
 ) -> None:
-    cell = make_cell(Shape(slots=1), threads=True)
+    cell = make_cell(RequestCellShape(slots=1), threads=True)
     cell.run_in_background()
-    go_on = threading.Event()
+    may_finish = threading.Event()
     entered = threading.Event()
     outcomes: list[Outcome] = []
 
     def hold(server_id: str) -> None:
         entered.set()
-        go_on.wait(JOIN_S)
+        may_finish.wait(JOIN_TIMEOUT_S)
 
     cell.backends.on_send = hold
     first = cell.spawn(lambda: outcomes.append(cell.execute(number=1)))
-    assert entered.wait(JOIN_S)
+    assert entered.wait(JOIN_TIMEOUT_S)
     second = cell.spawn(lambda: outcomes.append(cell.execute(number=2)))
     while cell.cores[0].router.dump()["waiting"] != {"clubes-app": 1}:
         assert second.is_alive()
-    go_on.set()
-    first.join(JOIN_S)
-    second.join(JOIN_S)
+    may_finish.set()
+    first.join(JOIN_TIMEOUT_S)
+    second.join(JOIN_TIMEOUT_S)
     assert [outcome.unwrap().request_id for outcome in outcomes] == [
         "r1",
         "r2",
@@ -137,10 +137,10 @@
     assert cell.backends.most_in_flight_by_server == {"norte-runner-1": 1}
 
 
-def test_router_sheds_at_once_when_the_wait_exceeds_the_patience(
+def test_router_refuses_at_once_when_the_wait_exceeds_the_timeout(
     make_cell: Callable[..., RequestCell],
 ) -> None:
-    cell = make_cell(Shape(slots=1))
+    cell = make_cell(RequestCellShape(slots=1))
     cell.backends.duration_ms = PATIENCE_MS - 100
     for number in range(40):
         cell.execute(number=number).unwrap()
@@ -167,16 +167,16 @@
 def test_router_bounds_the_queue_of_an_entry(
     make_cell: Callable[..., RequestCell],
 ) -> None:
-    cell = make_cell(Shape(slots=1))
-    cell.put("seat-check", 1, limits=Limits(queued=1))
+    cell = make_cell(RequestCellShape(slots=1))
+    cell.put_entry("seat-check", 1, limits=Limits(queued=1))
     cell.settle()
     pool = cell.cores[0].router._pool
     with cell.cores[0].journal.reading() as state:
         entry = state.catalogue_by_name["seat-check"].entry
     deadline_ms = cell.clock.now_ms() + PATIENCE_MS
     assert pool.try_acquire(entry) is not None
-    pool.wait(entry, deadline_ms).unwrap()
-    failure = pool.wait(entry, deadline_ms).unwrap_err()
+    pool.enqueue(entry, deadline_ms).unwrap()
+    failure = pool.enqueue(entry, deadline_ms).unwrap_err()
     assert failure.code is FailureCode.OVERLOADED
     assert failure.verdict is Verdict.NOT_RUN
 
@@ -187,7 +187,7 @@
 def test_router_never_repeats_a_non_idempotent_request(
     make_cell: Callable[..., RequestCell], fault: BackendFault
 ) -> None:
-    cell = make_cell(Shape(backends=3))
+    cell = make_cell(RequestCellShape(backends=3))
     for server_id in cell.server_ids():
         cell.backends.add_fault(server_id, fault)
     failure = cell.execute(entry="fee-match").unwrap_err()
@@ -198,7 +198,7 @@
 def test_router_repeats_an_idempotent_request(
     make_cell: Callable[..., RequestCell],
 ) -> None:
-    cell = make_cell(Shape(backends=3))
+    cell = make_cell(RequestCellShape(backends=3))
     for server_id in cell.server_ids():
         cell.backends.add_fault(server_id, BackendFault.TRUNCATE_ANSWER)
     cell.execute().unwrap()
@@ -220,7 +220,7 @@
 def test_router_bounds_retries_by_a_budget(
     make_cell: Callable[..., RequestCell],
 ) -> None:
-    cell = make_cell(Shape(backends=8))
+    cell = make_cell(RequestCellShape(backends=8))
     calls: list[str] = []
     cell.backends.on_send = calls.append
     count = 200
@@ -235,7 +235,7 @@
     assert len(calls) <= count + 50 + count // 5
 
 
-def test_router_refuses_while_draining_and_finishes_what_it_has(
+def test_router_refuses_while_draining_and_finishes_requests_in_flight(
     make_cell: Callable[..., RequestCell],
 ) -> None:
     cell = make_cell()
@@ -254,14 +254,14 @@
     assert failure.verdict is Verdict.NOT_RUN
     assert failure.code is FailureCode.SHUTTING_DOWN
     assert router.in_flight() == 0
-    assert isinstance(router.execute_here(cell.request(3)), Err)
+    assert isinstance(router.execute_forwarded(cell.request(3)), Err)
 
 
 def test_router_keeps_slots_within_bounds_under_concurrent_load(
     make_cell: Callable[..., RequestCell],
 ) -> None:
     cell = make_cell(
-        Shape(("norte", "centro"), entries_per_zone=2, backends=2),
+        RequestCellShape(("norte", "centro"), entries_per_zone=2, backends=2),
         threads=True,
     )
     cell.run_in_background()
@@ -273,7 +273,7 @@
 
     threads = [cell.spawn(partial(call, n % 4)) for n in range(24)]
     for thread in threads:
-        thread.join(JOIN_S)
+        thread.join(JOIN_TIMEOUT_S)
     assert len(outcomes) == 600
     assert sum(outcome.is_ok() for outcome in outcomes) == len(
         cell.backends.history
