--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -111,7 +111,7 @@
             return unit in self._release_started_ms_by_unit
 
     def release(self, unit: str) -> None:
-        """Append the release of an owned unit with no grants in flight."""
+        """Release an owned unit, none of whose grants may be in flight."""
         claim = self.owned_claims().get(unit)
         with self._lock:
             if claim is not None and not self._is_pending(unit):
--- a/src/magnoliapitch/ownership/job_mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -39,7 +39,8 @@
         self._journal = journal
         self._claimer = claimer
         self._clock = clock
-        # Offset of the newest presence record, and local time of its arrival.
+        # Offset of the member's newest presence in the log, and local time at
+        # which this instance first saw it.
         self._presence_by_incarnation: dict[str, tuple[int, int]] = {}
         self._pending_by_job: dict[str, Pending] = {}
 
@@ -67,27 +68,27 @@
         return CHECK_INTERVAL_MS
 
     def _update_presence(self, state: ClusterState, now_ms: int) -> None:
-        seen = {}
+        presence_by_incarnation = {}
         for incarnation, member in state.members_by_incarnation.items():
             known = self._presence_by_incarnation.get(incarnation)
             if known is None or known[0] != member.presence_offset:
                 known = (member.presence_offset, now_ms)
-            seen[incarnation] = known
-        self._presence_by_incarnation = seen
+            presence_by_incarnation[incarnation] = known
+        self._presence_by_incarnation = presence_by_incarnation
 
     def _plan_moves(
         self, state: ClusterState, racks: list[str], now_ms: int
     ) -> list[JobMove]:
-        silent_by_unit = {
+        silence_ms_by_unit = {
             unit: self._silence_ms(claim, now_ms)
             for unit, claim in state.claims_by_unit.items()
             if claim.zone != self._zone
         }
         moves: list[JobMove] = []
-        if not any(silent_by_unit.values()):
+        if not any(silence_ms_by_unit.values()):
             return moves
         for job_id, job in state.jobs_by_id.items():
-            silence_ms = silent_by_unit.get(job.unit, 0)
+            silence_ms = silence_ms_by_unit.get(job.unit, 0)
             if job_id in self._pending_by_job or job.is_done:
                 continue
             if _may_move(state, job, silence_ms):
--- a/src/magnoliapitch/request/dispatch_fence.py
+++ b/src/magnoliapitch/request/dispatch_fence.py
@@ -121,7 +121,8 @@
             for peer in self._membership.peers()
             if peer.join.zone == identity.zone
         ]
-        # Only instances of this zone claim its units, so nobody takes over.
+        # Only instances of this zone claim its units. Without neighbours
+        # nobody can take them over.
         if not neighbours:
             return True
         with self._journal.reading() as state:
--- a/src/magnoliapitch/request/execution_registry.py
+++ b/src/magnoliapitch/request/execution_registry.py
@@ -105,7 +105,7 @@
         deadline_ms: int,
         execute: Callable[[], Outcome],
     ) -> Outcome:
-        """Execute a registered request or return its earlier outcome.
+        """Execute a registered request, or return its earlier outcome.
 
         If another thread executes it now, wait for that outcome.
 
@@ -149,7 +149,7 @@
                 execution.done = None
             else:
                 execution.outcome = outcome
-                self._limit_answers(name, outcome)
+                self._account_answer(name, outcome)
         done.set()
 
     def _wait_for_outcome(
@@ -176,7 +176,7 @@
             )
         )
 
-    def _limit_answers(self, name: str, outcome: Outcome) -> None:
+    def _account_answer(self, name: str, outcome: Outcome) -> None:
         if isinstance(outcome, Err):
             return
         size = len(outcome.ok_value.body)
--- a/src/magnoliapitch/request/server_state.py
+++ b/src/magnoliapitch/request/server_state.py
@@ -35,8 +35,8 @@
     __slots__ = (
         "_backoff_ms",
         "_consecutive_failures",
-        "_occupied_until_ms",
         "_leaving_until_ms",
+        "_occupied_until_ms",
         "_open_until_ms",
         "_url",
         "in_flight",
--- a/src/magnoliapitch/request/slot_pool.py
+++ b/src/magnoliapitch/request/slot_pool.py
@@ -73,7 +73,7 @@
         with self._lock:
             queue = self._queue_of(entry.app)
             estimate = self._duration_estimate(entry.app)
-            if queue.count(entry.name) >= entry.limits.queued:
+            if queue.count_of(entry.name) >= entry.limits.queued:
                 wait_ms = estimate.wait_ms(len(queue), slot_count)
                 return Err(_queue_full_failure(entry, wait_ms))
             requests_ahead = queue.count_ahead_of(entry, deadline_ms)
