--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -21,8 +21,8 @@
 from magnoliapitch.membership.relay import PeerRelay
 from magnoliapitch.metric import Metrics
 from magnoliapitch.ownership.claimer import Claimer
-from magnoliapitch.ownership.presence_lease import PresenceLease
 from magnoliapitch.ownership.job_mover import JobMover
+from magnoliapitch.ownership.presence_lease import PresenceLease
 from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -170,7 +170,9 @@
                 if attempt.state is AttemptState.ENDED:
                     continue
                 expires_at_ms = attempt.expires_at_ms
-                if channel.fence.has_worker_clock_passed(expires_at_ms, now_ms):
+                if channel.fence.has_worker_clock_passed(
+                    expires_at_ms, now_ms
+                ):
                     self._end(channel, attempt, TaskOutcome.LOST, now_ms)
 
     def follow_end(
@@ -296,7 +298,9 @@
             )
 
     def _holds(self, attempt: Attempt) -> bool:
-        return self._hold.may_keep_tasks(attempt.task.entry, self._clock.now_ms())
+        return self._hold.may_keep_tasks(
+            attempt.task.entry, self._clock.now_ms()
+        )
 
     def _adopt(
         self, channel: WorkerChannel, lease: LeaseView, now_ms: int
--- a/src/magnoliapitch/ownership/assignment.py
+++ b/src/magnoliapitch/ownership/assignment.py
@@ -26,11 +26,20 @@
     sorted_units = sorted(set(units))
     if not sorted_ids:
         return {}
-    free_places_by_instance = dict.fromkeys(sorted_ids, -(-len(sorted_units) // len(sorted_ids)))
+    free_places_by_instance = dict.fromkeys(
+        sorted_ids, -(-len(sorted_units) // len(sorted_ids))
+    )
     instance_by_unit = {}
     for unit in sorted_units:
-        candidates = [instance_id for instance_id in sorted_ids if free_places_by_instance[instance_id]]
-        owner = max(candidates, key=lambda instance_id: _rendezvous_weight(unit, instance_id))
+        candidates = [
+            instance_id
+            for instance_id in sorted_ids
+            if free_places_by_instance[instance_id]
+        ]
+        owner = max(
+            candidates,
+            key=lambda instance_id: _rendezvous_weight(unit, instance_id),
+        )
         free_places_by_instance[owner] -= 1
         instance_by_unit[unit] = owner
     return instance_by_unit
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -129,7 +129,9 @@
         if claim is None:
             return None
         with self._lock:
-            return self._zone_members.stopped_at_ms(claim, self._clock.now_ms())
+            return self._zone_members.stopped_at_ms(
+                claim, self._clock.now_ms()
+            )
 
     def slot_share(self, unit: str, now_ms: int) -> Fraction:
         """Return the share of a group's slots that may be used now.
@@ -160,9 +162,12 @@
 
     def _observe(self, now_ms: int) -> None:
         self._zone_members.observe(self._membership.peers(), now_ms)
-        own_claims = {(unit, c.epoch) for unit, c in self.owned_claims().items()}
+        own_claims = {
+            (unit, c.epoch) for unit, c in self.owned_claims().items()
+        }
         self._owned_since_ms_by_claim = {
-            key: self._owned_since_ms_by_claim.get(key, now_ms) for key in own_claims
+            key: self._owned_since_ms_by_claim.get(key, now_ms)
+            for key in own_claims
         }
         own_units = {unit for unit, _ in own_claims}
         for unit in set(self._release_started_ms_by_unit) - own_units:
@@ -232,7 +237,9 @@
             )
         )
 
-    def _advance_handover(self, unit: str, role: InstanceRole, now_ms: int) -> None:
+    def _advance_handover(
+        self, unit: str, role: InstanceRole, now_ms: int
+    ) -> None:
         started_ms = self._release_started_ms_by_unit.get(unit)
         if started_ms is not None:
             has_drained = now_ms - started_ms >= GROUP_RELEASE_DELAY_MS
@@ -240,7 +247,9 @@
                 self.release(unit)
             return
         is_stable = now_ms - self._members_since_ms >= MEMBERS_STABLE_MS
-        is_interval_over = now_ms - self._last_handover_ms >= HANDOVER_INTERVAL_MS
+        is_interval_over = (
+            now_ms - self._last_handover_ms >= HANDOVER_INTERVAL_MS
+        )
         if is_stable and is_interval_over:
             self._last_handover_ms = now_ms
             self._release_started_ms_by_unit[unit] = now_ms
--- a/src/magnoliapitch/ownership/fence.py
+++ b/src/magnoliapitch/ownership/fence.py
@@ -140,7 +140,9 @@
 
         :raises ValueError: if no view of the worker is known.
         """
-        successor = self._replace(placed_claim_count=self.placed_claim_count + 1)
+        successor = self._replace(
+            placed_claim_count=self.placed_claim_count + 1
+        )
         lease_id = f"{self._claim_prefix()}{successor.placed_claim_count}"
         grant = LeaseGrant(
             lease_id,
--- a/src/magnoliapitch/ownership/presence_lease.py
+++ b/src/magnoliapitch/ownership/presence_lease.py
@@ -48,7 +48,12 @@
     :return: milliseconds since the presence record was sent.
     """
     silence_ms = move_after_silence_ms(entry)
-    return silence_ms - 2 * silence_ms // CLOCK_DRIFT_DIVISOR - 1 - LEASE_TTL_MAX_MS
+    return (
+        silence_ms
+        - 2 * silence_ms // CLOCK_DRIFT_DIVISOR
+        - 1
+        - LEASE_TTL_MAX_MS
+    )
 
 
 class PresenceLease:
@@ -94,7 +99,9 @@
         self._update_confirmed()
         if self._confirmed_ms is None:
             return False
-        return now_ms - self._confirmed_ms <= presence_lease_ms(versioned.entry)
+        return now_ms - self._confirmed_ms <= presence_lease_ms(
+            versioned.entry
+        )
 
     def _update_confirmed(self) -> None:
         if self._pending is None or self._pending.outcome is None:
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -83,9 +83,14 @@
 
     def dump(self) -> dict[str, int]:
         """Return the number of remembered tickets and keys."""
-        return {"tickets": len(self._ticket_executions), "keys": len(self._key_executions)}
-
-    def run_ticket(self, routed: RoutedRequest, *, is_forwarded: bool) -> Outcome:
+        return {
+            "tickets": len(self._ticket_executions),
+            "keys": len(self._key_executions),
+        }
+
+    def run_ticket(
+        self, routed: RoutedRequest, *, is_forwarded: bool
+    ) -> Outcome:
         """Run a request with a ticket, or forward it to the issuer.
 
         :param is_forwarded: whether a peer sent the request; it is not
@@ -101,7 +106,9 @@
         if refusal is not None:
             return Err(refusal)
         digest = _digest_of(routed.request)
-        refusal = self._ticket_executions.open(ticket.nonce, digest, ticket.expires_ms)
+        refusal = self._ticket_executions.open(
+            ticket.nonce, digest, ticket.expires_ms
+        )
         if refusal is not None:
             return Err(refusal)
         return self._ticket_executions.run(
@@ -136,7 +143,9 @@
                 return Err(refusal)
             intent = self._recorded_intent(key)
         if intent is None:
-            return Err(_log_unavailable("the log rejected the idempotency key"))
+            return Err(
+                _log_unavailable("the log rejected the idempotency key")
+            )
         if intent.digest != _digest_of(request):
             return Err(
                 not_run(
@@ -161,7 +170,9 @@
         with self._journal.reading() as state:
             return state.intents_by_key.get(key)
 
-    def _append_intent(self, routed: RoutedRequest, key: str) -> Failure | None:
+    def _append_intent(
+        self, routed: RoutedRequest, key: str
+    ) -> Failure | None:
         """Append an intent that makes this incarnation the key's holder.
 
         Only the calling thread dispatches the request. If the intent is
@@ -174,21 +185,30 @@
         now_ms = self._clock.now_ms()
         read_ms = self._journal.last_read_ms
         if read_ms is None or now_ms - read_ms > LOG_MAX_AGE_MS:
-            return _log_unavailable(f"no complete read of the log in the last {LOG_MAX_AGE_MS} ms")
+            return _log_unavailable(
+                f"no complete read of the log in the last {LOG_MAX_AGE_MS} ms"
+            )
         digest = _digest_of(routed.request)
-        refusal = self._key_executions.open(key, digest, now_ms + KEY_RETENTION_MS)
+        refusal = self._key_executions.open(
+            key, digest, now_ms + KEY_RETENTION_MS
+        )
         if refusal is not None:
             return refusal
         entry = routed.request.entry
         timeout_ms = min(COMMIT_TIMEOUT_MS, routed.deadline_ms - now_ms)
         outcome = self._journal.commit(
-            RequestIntent(key, entry, self._own_incarnation, digest), timeout_ms
+            RequestIntent(key, entry, self._own_incarnation, digest),
+            timeout_ms,
         )
         if isinstance(outcome, Err):
-            return _log_unavailable(f"the log did not confirm the key within {timeout_ms} ms")
+            return _log_unavailable(
+                f"the log did not confirm the key within {timeout_ms} ms"
+            )
         return None
 
-    def _forward(self, routed: RoutedRequest, holder: str, is_forwarded: bool) -> Outcome:
+    def _forward(
+        self, routed: RoutedRequest, holder: str, is_forwarded: bool
+    ) -> Outcome:
         remaining_ms = routed.deadline_ms - self._clock.now_ms()
         for peer in self._membership.peers():
             if peer.join.incarnation != holder or is_forwarded:
@@ -197,7 +217,9 @@
                 timeout_ms=max(remaining_ms - FORWARD_MARGIN_MS, 1)
             )
             address = peer.join.peer_address
-            outcome = self._link.forward(address, request, max(remaining_ms, 1))
+            outcome = self._link.forward(
+                address, request, max(remaining_ms, 1)
+            )
             if not _is_peer_unreachable(outcome):
                 return outcome
             return Err(
--- a/src/magnoliapitch/request/concurrency_limiter.py
+++ b/src/magnoliapitch/request/concurrency_limiter.py
@@ -75,14 +75,18 @@
             with self._lock:
                 if queued.granted.is_set():
                     return None
-                if queued.can_finish_in_time(now_ms, self._duration_estimate.mean_ms):
+                if queued.can_finish_in_time(
+                    now_ms, self._duration_estimate.mean_ms
+                ):
                     continue
                 self._queue.abandon(queued)
                 return _quota_failure(
-                    f"{queued.entry.name}: the deadline came too close while "
-                    f"the request waited for one of {self._max_running} "
-                    "places",
-                    self._duration_estimate.wait_ms(len(self._queue), self._max_running),
+                    f"the limit of {self._max_running} concurrent requests "
+                    f"of {queued.entry.name} delayed the request until too "
+                    "little time was left to run it",
+                    self._duration_estimate.wait_ms(
+                        len(self._queue), self._max_running
+                    ),
                 )
         return None
 
@@ -90,10 +94,12 @@
         self, entry: CatalogueEntry, deadline_ms: int
     ) -> Failure | None:
         queue_length = len(self._queue)
-        wait_ms = self._duration_estimate.wait_ms(queue_length, self._max_running)
+        wait_ms = self._duration_estimate.wait_ms(
+            queue_length, self._max_running
+        )
         if queue_length >= entry.limits.queued:
             return _quota_failure(
-                f"{entry.name}: {queue_length} requests are queued "
+                f"{queue_length} requests of {entry.name} are queued "
                 f"already, {entry.limits.queued} are allowed",
                 wait_ms,
             )
@@ -116,4 +122,6 @@
 
 
 def _quota_failure(detail: str, retry_after_ms: int) -> Failure:
-    return not_run(FailureCode.QUOTA, detail, max(retry_after_ms, RETRY_AFTER_MIN_MS))
+    return not_run(
+        FailureCode.QUOTA, detail, max(retry_after_ms, RETRY_AFTER_MIN_MS)
+    )
--- a/src/magnoliapitch/request/dispatcher.py
+++ b/src/magnoliapitch/request/dispatcher.py
@@ -112,7 +112,9 @@
             failure.verdict is Verdict.NOT_RUN or routed.entry.idempotent
         )
         return (
-            is_harmless and self._remaining_ms(routed) > 0 and self._retry_budget.withdraw()
+            is_harmless
+            and self._remaining_ms(routed) > 0
+            and self._retry_budget.withdraw()
         )
 
     def _attempt(self, routed: RoutedRequest) -> _Attempt:
--- a/src/magnoliapitch/request/execution_registry.py
+++ b/src/magnoliapitch/request/execution_registry.py
@@ -141,7 +141,9 @@
             self._finish(name, execution, outcome)
         return outcome
 
-    def _finish(self, name: str, execution: _Execution, outcome: Outcome) -> None:
+    def _finish(
+        self, name: str, execution: _Execution, outcome: Outcome
+    ) -> None:
         with self._lock:
             done = execution.done
             assert done is not None
--- a/src/magnoliapitch/request/limit.py
+++ b/src/magnoliapitch/request/limit.py
@@ -86,8 +86,12 @@
         now_ms = self._clock.now_ms()
         members = self._members(now_ms)
         limits = entry.limits
-        max_running = self._share_of(entry.name, limits.concurrent_requests, members)
-        rate_per_s = self._share_of(entry.name, limits.requests_per_second, members)
+        max_running = self._share_of(
+            entry.name, limits.concurrent_requests, members
+        )
+        rate_per_s = self._share_of(
+            entry.name, limits.requests_per_second, members
+        )
         if not max_running or not rate_per_s:
             return _quota_failure(
                 f"this instance has no share of the limits of {entry.name}; "
@@ -106,7 +110,9 @@
                 f"{limits.requests_per_second} requests per second is used up",
                 retry_after_ms,
             )
-        return self._limiter(entry.name).acquire(entry, max_running, deadline_ms)
+        return self._limiter(entry.name).acquire(
+            entry, max_running, deadline_ms
+        )
 
     def finish(self, entry: CatalogueEntry, duration_ms: int) -> None:
         """Note the end of an admitted request and let the next one run."""
@@ -128,7 +134,10 @@
 
     def _members(self, now_ms: int) -> tuple[str, ...]:
         member_list = self._member_list
-        if member_list is None or now_ms - member_list.read_ms >= MEMBER_LIST_MAX_AGE_MS:
+        if (
+            member_list is None
+            or now_ms - member_list.read_ms >= MEMBER_LIST_MAX_AGE_MS
+        ):
             others = [
                 peer.join.incarnation for peer in self._membership.peers()
             ]
@@ -145,7 +154,9 @@
             return base
         order = sorted(
             members,
-            key=lambda incarnation: xxhash.xxh64_intdigest(f"{name}/{incarnation}".encode()),
+            key=lambda incarnation: xxhash.xxh64_intdigest(
+                f"{name}/{incarnation}".encode()
+            ),
         )
         own = self._membership.identity.incarnation
         return base + (order.index(own) < remainder)
--- a/src/magnoliapitch/request/peer_selector.py
+++ b/src/magnoliapitch/request/peer_selector.py
@@ -81,7 +81,10 @@
             heard_ms, used_slots = self._used_slots_by_peer.get(
                 candidate.incarnation, (-1, 0)
             )
-            self._used_slots_by_peer[candidate.incarnation] = (heard_ms, used_slots + 1)
+            self._used_slots_by_peer[candidate.incarnation] = (
+                heard_ms,
+                used_slots + 1,
+            )
 
     def avoid(self, candidate: Candidate) -> None:
         """Exclude a peer for ``AVOIDANCE_MS`` after a failed call."""
@@ -99,7 +102,9 @@
             return [
                 candidate._replace(
                     free_slots=candidate.free_slots
-                    - self._used_slots_by_peer.get(candidate.incarnation, (0, 0))[1]
+                    - self._used_slots_by_peer.get(
+                        candidate.incarnation, (0, 0)
+                    )[1]
                 )
                 for candidate in table.candidates_by_app.get(app, ())
                 if self._avoided_until_ms_by_peer.get(candidate.incarnation, 0)
@@ -129,8 +134,12 @@
                 if owner == peer.join.incarnation
             }
             for app in {app_by_unit[unit] for unit in units}:
-                app_units = {unit for unit in units if app_by_unit[unit] == app}
-                candidates_by_app.setdefault(app, []).append(self._candidate(peer, app_units))
+                app_units = {
+                    unit for unit in units if app_by_unit[unit] == app
+                }
+                candidates_by_app.setdefault(app, []).append(
+                    self._candidate(peer, app_units)
+                )
         return {app: tuple(items) for app, items in candidates_by_app.items()}
 
     def _candidate(self, peer: PeerStatus, units: set[str]) -> Candidate:
@@ -148,7 +157,10 @@
         with self._lock:
             known = self._used_slots_by_peer.get(peer.join.incarnation)
             if known is None or known[0] != peer.heard_ms:
-                self._used_slots_by_peer[peer.join.incarnation] = (peer.heard_ms, 0)
+                self._used_slots_by_peer[peer.join.incarnation] = (
+                    peer.heard_ms,
+                    0,
+                )
 
 
 def _rank(candidate: Candidate) -> tuple[bool, int]:
--- a/src/magnoliapitch/request/request_queue.py
+++ b/src/magnoliapitch/request/request_queue.py
@@ -62,7 +62,9 @@
         :return: whether the request may proceed.
         """
         remaining_ms = self.rank.deadline_ms - clock.now_ms()
-        return clock.wait(self.granted, max(min(GRANT_POLL_INTERVAL_MS, remaining_ms), 0))
+        return clock.wait(
+            self.granted, max(min(GRANT_POLL_INTERVAL_MS, remaining_ms), 0)
+        )
 
     def can_finish_in_time(self, now_ms: int, needed_ms: float) -> bool:
         """Return whether the request can finish before its deadline.
--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -11,10 +11,10 @@
 from result import Result
 
 from magnoliapitch.request.at_most_once import AtMostOnceExecutor
+from magnoliapitch.request.dispatch_fence import DispatchFence
 from magnoliapitch.request.dispatcher import Dispatcher
 from magnoliapitch.request.dispatcher import Outcome
 from magnoliapitch.request.dispatcher import RoutedRequest
-from magnoliapitch.request.dispatch_fence import DispatchFence
 from magnoliapitch.request.limit import RequestLimits
 from magnoliapitch.request.peer_selector import PeerSelector
 from magnoliapitch.request.slot_pool import SlotPool
@@ -63,7 +63,9 @@
         self._pool = SlotPool(fleet, self._fence, clock)
         self._limits = RequestLimits(membership, clock)
         peer_selector = PeerSelector(journal, membership, fleet, clock)
-        self._dispatcher = Dispatcher(self._pool, peer_selector, backends, link, clock)
+        self._dispatcher = Dispatcher(
+            self._pool, peer_selector, backends, link, clock
+        )
         self._at_most_once = AtMostOnceExecutor(
             journal, membership, link, clock, self._dispatcher.dispatch
         )
@@ -195,9 +197,13 @@
                 )
             )
         if request.ticket:
-            return self._at_most_once.run_ticket(routed, is_forwarded=is_forwarded)
+            return self._at_most_once.run_ticket(
+                routed, is_forwarded=is_forwarded
+            )
         if request.key:
-            return self._at_most_once.run_key(routed, is_forwarded=is_forwarded)
+            return self._at_most_once.run_key(
+                routed, is_forwarded=is_forwarded
+            )
         return self._dispatcher.dispatch(routed)
 
     def _find_entry(self, name: str) -> Result[CatalogueEntry, Failure]:
@@ -209,7 +215,7 @@
             return Err(
                 not_run(
                     FailureCode.INVALID,
-                    f"catalogue entry {name!r} accepts jobs, not requests",
+                    f"catalogue entry {name} accepts jobs, not requests",
                 )
             )
         return Ok(versioned.entry)
--- a/src/magnoliapitch/request/server_state.py
+++ b/src/magnoliapitch/request/server_state.py
@@ -86,7 +86,9 @@
         """Send no requests for a while to a server that says it is leaving."""
         self._leaving_until_ms = now_ms + LEAVING_EXCLUSION_MS
 
-    def note_failure(self, failure: Failure, occupied_ms: int, now_ms: int) -> None:
+    def note_failure(
+        self, failure: Failure, occupied_ms: int, now_ms: int
+    ) -> None:
         """Update the state after a failed request.
 
         :param occupied_ms: how long the request may still occupy its slot.
--- a/src/magnoliapitch/request/slot_pool.py
+++ b/src/magnoliapitch/request/slot_pool.py
@@ -14,10 +14,10 @@
 from magnoliapitch.membership.instance import InstanceState
 from magnoliapitch.peer.message import UnitLoad
 from magnoliapitch.request.duration_estimate import DurationEstimate
-from magnoliapitch.request.server_state import BackendServerState
 from magnoliapitch.request.request_queue import RETRY_AFTER_MIN_MS
 from magnoliapitch.request.request_queue import QueuedRequest
 from magnoliapitch.request.request_queue import RequestQueue
+from magnoliapitch.request.server_state import BackendServerState
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
@@ -44,7 +44,7 @@
         self._lock = threading.Lock()
         self._states_by_server: dict[str, BackendServerState] = {}
         self._queues_by_app: dict[str, RequestQueue] = {}
-        self._duration_estimates_by_app: dict[str, DurationEstimate] = {}
+        self._estimates_by_app: dict[str, DurationEstimate] = {}
 
     def try_acquire(self, entry: CatalogueEntry) -> InstanceInfo | None:
         """Acquire a free slot, unless other requests are queued for one.
@@ -68,7 +68,9 @@
 
         :param deadline_ms: local monotonic time, in milliseconds.
         """
-        slot_count = sum(server.slots for server in self._usable_servers(entry.app))
+        slot_count = sum(
+            server.slots for server in self._usable_servers(entry.app)
+        )
         now_ms = self._clock.now_ms()
         with self._lock:
             queue = self._queue_of(entry.app)
@@ -79,7 +81,11 @@
             requests_ahead = queue.count_ahead_of(entry, deadline_ms)
             wait_ms = estimate.wait_ms(requests_ahead, slot_count)
             if now_ms + wait_ms + estimate.mean_ms > deadline_ms:
-                return Err(_wait_too_long_failure(entry, wait_ms, deadline_ms - now_ms))
+                return Err(
+                    _wait_too_long_failure(
+                        entry, wait_ms, deadline_ms - now_ms
+                    )
+                )
             queued = queue.add(entry, deadline_ms)
         self.grant_free_slots(entry.app)
         return Ok(queued)
@@ -112,7 +118,9 @@
                 return None
             queue = self._queue_of(app)
             queue.abandon(queued)
-            wait_ms = self._duration_estimate(app).wait_ms(len(queue), slot_count)
+            wait_ms = self._duration_estimate(app).wait_ms(
+                len(queue), slot_count
+            )
         remaining_ms = queued.rank.deadline_ms - self._clock.now_ms()
         return _wait_too_long_failure(queued.entry, wait_ms, remaining_ms)
 
@@ -212,7 +220,7 @@
                 },
                 "mean_ms": {
                     app: estimate.mean_ms
-                    for app, estimate in self._duration_estimates_by_app.items()
+                    for app, estimate in self._estimates_by_app.items()
                 },
             }
 
@@ -267,9 +275,9 @@
         return queue
 
     def _duration_estimate(self, app: str) -> DurationEstimate:
-        estimate = self._duration_estimates_by_app.get(app)
+        estimate = self._estimates_by_app.get(app)
         if estimate is None:
-            estimate = self._duration_estimates_by_app[app] = DurationEstimate()
+            estimate = self._estimates_by_app[app] = DurationEstimate()
         return estimate
 
     def _note_answer(
@@ -288,13 +296,15 @@
 def _queue_full_failure(entry: CatalogueEntry, retry_after_ms: int) -> Failure:
     return not_run(
         FailureCode.OVERLOADED,
-        f"{entry.name}: {entry.limits.queued} requests are queued already, "
+        f"{entry.limits.queued} requests of {entry.name} are queued already, "
         "which is the limit",
         max(retry_after_ms, RETRY_AFTER_MIN_MS),
     )
 
 
-def _wait_too_long_failure(entry: CatalogueEntry, wait_ms: int, remaining_ms: int) -> Failure:
+def _wait_too_long_failure(
+    entry: CatalogueEntry, wait_ms: int, remaining_ms: int
+) -> Failure:
     return not_run(
         FailureCode.OVERLOADED,
         f"{entry.name}: the expected wait of {wait_ms} ms for a slot is too "
--- a/src/magnoliapitch/request/ticket.py
+++ b/src/magnoliapitch/request/ticket.py
@@ -99,7 +99,7 @@
         if not hmac.compare_digest(expected, ticket.signature):
             return not_run(
                 FailureCode.INVALID,
-                f"the ticket was not issued for catalogue entry {entry!r}",
+                f"the ticket was not issued for catalogue entry {entry}",
             )
         if ticket.expires_ms <= self._clock.now_ms():
             return may_have_run(FailureCode.EXPIRED, "the ticket has expired")
--- a/tests/ownership/test_fence.py
+++ b/tests/ownership/test_fence.py
@@ -76,7 +76,8 @@
     fence, grant = fence_with_claim(OwnerClaim("a", 1))
     other = LeaseGrant("job/0/0", 2, 50_000)
     assert (
-        fence.observe(worker_view(200, grant, other), 0).phase is FencePhase.YIELDED
+        fence.observe(worker_view(200, grant, other), 0).phase
+        is FencePhase.YIELDED
     )
 
 
@@ -91,7 +92,9 @@
 
 
 def test_fence_places_a_claim_only_soon_after_a_read_of_the_log() -> None:
-    fence = WorkerFence(SECOND_OWNER).observe(worker_view(1), CONFIRMATION_MAX_AGE_MS)
+    fence = WorkerFence(SECOND_OWNER).observe(
+        worker_view(1), CONFIRMATION_MAX_AGE_MS
+    )
     assert not fence.may_place_claim(None)
     assert not fence.may_place_claim(0)
     assert fence.may_place_claim(1)
--- a/tests/ownership/test_share.py
+++ b/tests/ownership/test_share.py
@@ -16,17 +16,28 @@
 
 
 def test_share_halves_when_the_claim_is_not_confirmed() -> None:
-    assert slot_share(FIRST_CLAIM, 9_000, 0, 9_000 - CLAIM_MAX_AGE_MS, 0, 0) == 1
-    assert slot_share(FIRST_CLAIM, 9_001, 0, 9_000 - CLAIM_MAX_AGE_MS, 0, 0) == HALF
+    assert (
+        slot_share(FIRST_CLAIM, 9_000, 0, 9_000 - CLAIM_MAX_AGE_MS, 0, 0) == 1
+    )
+    assert (
+        slot_share(FIRST_CLAIM, 9_001, 0, 9_000 - CLAIM_MAX_AGE_MS, 0, 0)
+        == HALF
+    )
     assert slot_share(FIRST_CLAIM, 9_000, 0, None, 0, 0) == HALF
 
 
 def test_share_of_old_and_new_owner_never_exceeds_the_whole() -> None:
     partitioned_ms = 1_000
-    for now_ms in range(partitioned_ms, partitioned_ms + 3 * SHRUNK_AFTER_MS, 100):
+    for now_ms in range(
+        partitioned_ms, partitioned_ms + 3 * SHRUNK_AFTER_MS, 100
+    ):
         old_share = slot_share(FIRST_CLAIM, now_ms, 0, partitioned_ms, 0, 0)
-        in_flight_share = slot_share(FIRST_CLAIM, now_ms - REQUEST_MAX_MS, 0, partitioned_ms, 0, 0)
-        new_share = slot_share(TAKEOVER_CLAIM, now_ms, partitioned_ms, now_ms, 1, None)
+        in_flight_share = slot_share(
+            FIRST_CLAIM, now_ms - REQUEST_MAX_MS, 0, partitioned_ms, 0, 0
+        )
+        new_share = slot_share(
+            TAKEOVER_CLAIM, now_ms, partitioned_ms, now_ms, 1, None
+        )
         assert max(old_share, in_flight_share) + new_share <= 1
 
 
@@ -34,7 +45,9 @@
     now_ms = 100_000
     stopped_ms = now_ms - REQUEST_MAX_MS
     assert slot_share(TAKEOVER_CLAIM, now_ms, 0, now_ms, 0, stopped_ms) == HALF
-    assert slot_share(TAKEOVER_CLAIM, now_ms, 0, now_ms, 0, stopped_ms - 1) == 1
+    assert (
+        slot_share(TAKEOVER_CLAIM, now_ms, 0, now_ms, 0, stopped_ms - 1) == 1
+    )
     assert slot_share(TAKEOVER_CLAIM, now_ms, 0, now_ms, 2, None) == 0
 
 
--- a/tests/request/conftest.py
+++ b/tests/request/conftest.py
@@ -117,7 +117,9 @@
             PATIENCE_MS,
             idempotent=idempotent,
         )
-        self.deployment.log.append(encode_record((CataloguePut(entry, version),)))
+        self.deployment.log.append(
+            encode_record((CataloguePut(entry, version),))
+        )
 
     def settle(self, rounds: int = SETTLE_ROUNDS) -> None:
         for _ in range(rounds):
--- a/tests/request/test_dispatch_fence.py
+++ b/tests/request/test_dispatch_fence.py
@@ -84,7 +84,10 @@
 ) -> None:
     cell = make_cell(RequestCellShape(("norte", "sur")))
     cell.deployment.log.down = True
-    cell.network.cuts |= {(FIRST_ADDRESS, SECOND_ADDRESS), (SECOND_ADDRESS, FIRST_ADDRESS)}
+    cell.network.cuts |= {
+        (FIRST_ADDRESS, SECOND_ADDRESS),
+        (SECOND_ADDRESS, FIRST_ADDRESS),
+    }
     for _ in range(10):
         _advance(cell, 30_000)
         cell.settle()
--- a/tests/request/test_execution_registry.py
+++ b/tests/request/test_execution_registry.py
@@ -24,7 +24,9 @@
 JOIN_TIMEOUT_S = 30
 
 
-def _run(registry: ExecutionRegistry, name: str, outcome: Outcome = ANSWER) -> Outcome:
+def _run(
+    registry: ExecutionRegistry, name: str, outcome: Outcome = ANSWER
+) -> Outcome:
     registry.open(name, "d", 1_000)
     return registry.run(name, "d", 0, lambda: outcome)
 
--- a/tests/request/test_limit.py
+++ b/tests/request/test_limit.py
@@ -67,7 +67,9 @@
     make_cell: Callable[..., RequestCell],
 ) -> None:
     cell = make_cell(RequestCellShape(slots=64), threads=True)
-    cell.put_entry("seat-check", 1, limits=Limits(concurrent_requests=3, queued=50))
+    cell.put_entry(
+        "seat-check", 1, limits=Limits(concurrent_requests=3, queued=50)
+    )
     cell.settle()
     cell.run_in_background()
     cell.backends.duration_ms = 5
@@ -85,7 +87,9 @@
     make_cell: Callable[..., RequestCell],
 ) -> None:
     cell = make_cell(RequestCellShape(slots=64), threads=True)
-    cell.put_entry("seat-check", 1, limits=Limits(concurrent_requests=1, queued=1))
+    cell.put_entry(
+        "seat-check", 1, limits=Limits(concurrent_requests=1, queued=1)
+    )
     cell.settle()
     cell.run_in_background()
     may_finish = threading.Event()
--- a/tests/request/test_request_queue.py
+++ b/tests/request/test_request_queue.py
@@ -43,5 +43,9 @@
     for _ in range(100):
         estimate.add_sample(200)
     assert 190 < estimate.mean_ms <= 200
-    assert estimate.wait_ms(requests_ahead=7, concurrency=8) == int(estimate.mean_ms)
-    assert estimate.wait_ms(requests_ahead=0, concurrency=0) == int(estimate.mean_ms)
+    assert estimate.wait_ms(requests_ahead=7, concurrency=8) == int(
+        estimate.mean_ms
+    )
+    assert estimate.wait_ms(requests_ahead=0, concurrency=0) == int(
+        estimate.mean_ms
+    )
--- a/tests/request/test_server_state.py
+++ b/tests/request/test_server_state.py
@@ -87,7 +87,11 @@
         cell.execute(number=number).unwrap()
         _advance(cell, 2_000)
     probes = 4 + 80_000 // BACKOFF_MAX_MS
-    assert FAILURE_COUNT_TO_OPEN < _run_count(cell) <= FAILURE_COUNT_TO_OPEN + probes
+    assert (
+        FAILURE_COUNT_TO_OPEN
+        < _run_count(cell)
+        <= FAILURE_COUNT_TO_OPEN + probes
+    )
 
 
 def test_server_keeps_the_slot_of_a_request_that_timed_out(
