--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -31,7 +31,7 @@
 TAKEOVER_AFTER_MS = 3_000
 MEMBERS_STABLE_MS = 10_000
 HANDOVER_INTERVAL_MS = 5_000
-# Requests that were sent before a handover began have ended by then.
+# Time in which an owner that hands a group over comes down to half its slots.
 GROUP_RELEASE_DELAY_MS = REQUEST_MAX_MS
 UNIT_ROLES = (InstanceRole.WORKER, InstanceRole.BACKEND_SERVER)
 
@@ -42,9 +42,10 @@
     Claims are records in the log. Each instance claims the units that
     ``assign_units`` gives to it and that have no owner, an owner silent for
     ``TAKEOVER_AFTER_MS``, or an earlier incarnation of the instance as owner.
-    An owner hands units over to their new instance one at a time, once the
-    set of live instances has not changed for ``MEMBERS_STABLE_MS``. Without a
-    complete read of the log in the last ``LOG_MAX_AGE_MS``, nothing changes.
+    An owner starts to hand over one unit every ``HANDOVER_INTERVAL_MS``, once
+    the set of live instances has not changed for ``MEMBERS_STABLE_MS``.
+    Without a complete read of the log in the last ``LOG_MAX_AGE_MS``, nothing
+    changes.
     """
 
     def __init__(
--- a/src/magnoliapitch/ownership/fence.py
+++ b/src/magnoliapitch/ownership/fence.py
@@ -134,7 +134,7 @@
         return self.received_ms - confirmed_ms < CONFIRMATION_MAX_AGE_MS
 
     def place_claim(self) -> tuple[WorkerFence, LeaseGrant]:
-        """Return a new claim lease, with an unused id, and the next state.
+        """Return the next state and a new claim lease with an unused id.
 
         Call only if :meth:`may_place_claim` returned true.
 
@@ -179,8 +179,9 @@
     def has_worker_clock_passed(self, worker_ms: int, local_ms: int) -> bool:
         """Return whether the worker's clock has certainly passed a time.
 
-        The slowest clock that drift allows is assumed. After a restart of the
-        worker the result holds as well, since its leases ended then.
+        The slowest clock that drift allows is assumed. If the worker has
+        restarted since its last reply, a positive result is still right for
+        its leases, because the restart ended them.
 
         :param worker_ms: time of the worker's clock, in milliseconds.
         :param local_ms: local monotonic time of the question.
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -45,7 +45,7 @@
 COMMIT_TIMEOUT_MS = 2_000
 HOLDER_RETRY_AFTER_MS = 1_000
 FORWARD_MARGIN_MS = 20  # for the way to the peer and back
-KEY_RETENTION_MS = 86_400_000
+KEY_RETENTION_MS = 86_400_000  # 24 hours
 
 _KEY_PATTERN = re.compile(r"[!-~]{1,255}", re.ASCII)
 
