--- a/src/magnoliapitch/capacity/page.py
+++ b/src/magnoliapitch/capacity/page.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 
 from magnoliapitch.capacity.exceptions import MeasurementError
-from magnoliapitch.capacity.lines import lines
+from magnoliapitch.capacity.requirement_rows import lines
 from magnoliapitch.capacity.measurement import Measurement
 from magnoliapitch.capacity.plan import Plan
 from magnoliapitch.capacity.role import Load
 from magnoliapitch.capacity.role import Sizing
 from magnoliapitch.capacity.roles import roles_by_name
 from magnoliapitch.capacity.target import Target
-from magnoliapitch.capacity.total import total
+from magnoliapitch.capacity.total_load import total
 
 
 Rows = list[tuple[str, ...]]
--- a/src/magnoliapitch/capacity/lines.py
+++ b/src/magnoliapitch/capacity/requirement_rows.py
@@ -13,7 +13,7 @@
 from magnoliapitch.capacity.roles import end_entries_per_second
 from magnoliapitch.capacity.roles import owner_of_racks
 from magnoliapitch.capacity.roles import snapshot_bytes
-from magnoliapitch.capacity.total import total
+from magnoliapitch.capacity.total_load import total
 from magnoliapitch.membership.table import SUSPECT_AFTER_MS
 from magnoliapitch.ownership.claimer import TAKEOVER_AFTER_MS
 
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -9,9 +9,9 @@
 from magnoliapitch.capacity import Plan
 from magnoliapitch.capacity import Target
 from magnoliapitch.capacity import refresh_page
-from magnoliapitch.capacity.lines import ratio
+from magnoliapitch.capacity.requirement_rows import ratio
 from magnoliapitch.capacity.role import Sizing
-from magnoliapitch.capacity.total import total
+from magnoliapitch.capacity.total_load import total
 
 
 DOCS = Path(__file__).parents[2] / "docs"
