--- a/src/magnoliapitch/bench/idle.py
+++ b/src/magnoliapitch/bench/idle.py
@@ -9,14 +9,14 @@
 import urllib3
 
 from magnoliapitch.bench.exceptions import BenchError
-from magnoliapitch.capacity.measurement import Idle
+from magnoliapitch.capacity.measurement import IdleCost
 
 
 BYTES_PER_MB = 1 << 20
 TIMEOUT_S = 10
 
 
-def measure_idle(admin_url: str, seconds: float) -> Idle:
+def measure_idle(admin_url: str, seconds: float) -> IdleCost:
     """Compare the counters of a process at two moments.
 
     :param admin_url: base address of the operators' listener.
@@ -32,7 +32,7 @@
         _cost(after, key) - _cost(before, key)
         for key in ("received_bytes", "sent_bytes")
     )
-    return Idle(
+    return IdleCost(
         cpu_s / elapsed_s,
         _cost(after, "memory_bytes") / BYTES_PER_MB,
         traffic / elapsed_s,
--- a/src/magnoliapitch/capacity/__init__.py
+++ b/src/magnoliapitch/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Arithmetic of the cost of each role at a given size."""
+"""Estimates what an entry instance costs at a given cluster size."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/capacity/exceptions.py
+++ b/src/magnoliapitch/capacity/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the capacity arithmetic."""
+"""Errors of the capacity estimate."""
 
 from __future__ import annotations
 
 
 class MeasurementError(ValueError):
-    """A measurement file that lacks what the arithmetic needs."""
+    """A measurement, or a page, lacks a value that the estimate needs."""
--- a/src/magnoliapitch/capacity/measurement.py
+++ b/src/magnoliapitch/capacity/measurement.py
@@ -1,4 +1,4 @@
-"""Measured slopes, as the capacity bench writes them."""
+"""Reads and writes the results of the capacity benchmark."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
     from pathlib import Path
 
 
-class Idle(NamedTuple):
-    """Cost of an idle entry process, from the operating system.
+class IdleCost(NamedTuple):
+    """Resources an idle entry process uses, read from the operating system.
 
-    :param core_share: processor time divided by elapsed time.
+    :param core_share: processor time divided by elapsed time, 1.0 for one
+        whole core.
     :param memory_mb: resident memory, in mebibytes.
-    :param bytes_per_second: traffic to the platform and workers.
-    :param workers: workers that the entry owned.
-    :param seconds: length of the observation.
+    :param bytes_per_second: bytes sent and received per second.
+    :param workers: number of workers that the entry owned.
+    :param seconds: duration of the measurement, in seconds.
     """
 
     core_share: float
@@ -37,44 +38,50 @@
 
 
 class Measurement(NamedTuple):
-    """Everything that the capacity arithmetic starts from.
+    """Measured values that the capacity estimate is computed from.
 
-    :param slopes: fitted slopes.
-    :param idle: cost of one idle entry process, if it was measured.
-    :param machine: processor and interpreter of the run.
+    :param slopes: straight-line fits of a cost against a size.
+    :param idle: cost of one idle entry process, None if not measured.
+    :param machine: processor architecture and Python version of the run.
     """
 
     slopes: tuple[Slope, ...]
     machine: str = ""
-    idle: Idle | None = None
+    idle: IdleCost | None = None
 
     @classmethod
     def from_file(cls, path: Path) -> Measurement:
-        """Read a measurement.
+        """Read a measurement from a JSON file.
 
-        :raises MeasurementError: if the file is no measurement.
+        :raises MeasurementError: if the file cannot be read or is not a
+            valid measurement.
         """
         try:
             return _ADAPTER.validate_json(path.read_bytes())
         except (OSError, ValidationError) as error:
-            raise MeasurementError(f"{path}: {error}") from error
+            raise MeasurementError(
+                f"{path}: cannot read the measurement: {error}"
+            ) from error
 
     def to_file(self, path: Path) -> None:
-        """Write the measurement."""
+        """Write the measurement to a file as indented JSON."""
         options = orjson.OPT_INDENT_2
         path.write_bytes(
             orjson.dumps(to_json_value(self), option=options) + b"\n"
         )
 
     def slope(self, name: str) -> Slope:
-        """Return a slope by its name.
+        """Return the slope with the given name.
 
-        :raises MeasurementError: if it was not measured.
+        :raises MeasurementError: if the measurement has no such slope.
         """
         for slope in self.slopes:
             if slope.name == name:
                 return slope
-        raise MeasurementError(f"no slope {name!r} was measured")
+        raise MeasurementError(
+            f"no slope {name!r} in the measurement; measure again with "
+            "`magnoliapitch bench capacity`"
+        )
 
 
 _ADAPTER = TypeAdapter(Measurement)
--- a/src/magnoliapitch/capacity/page.py
+++ b/src/magnoliapitch/capacity/page.py
@@ -1,4 +1,4 @@
-"""Renders the tables of the capacity page."""
+"""Renders the Markdown tables of the capacity page."""
 
 from __future__ import annotations
 
@@ -7,55 +7,66 @@
 from collections.abc import Callable
 
 from magnoliapitch.capacity.exceptions import MeasurementError
-from magnoliapitch.capacity.requirement_rows import lines
 from magnoliapitch.capacity.measurement import Measurement
 from magnoliapitch.capacity.plan import Plan
+from magnoliapitch.capacity.requirement_rows import row_functions
 from magnoliapitch.capacity.role import Load
 from magnoliapitch.capacity.role import Sizing
 from magnoliapitch.capacity.roles import roles_by_name
 from magnoliapitch.capacity.target import Target
-from magnoliapitch.capacity.total_load import total
+from magnoliapitch.capacity.total_load import total_load
 
 
 Rows = list[tuple[str, ...]]
-Render = Callable[[Measurement], Rows]
+TableFunction = Callable[[Measurement], Rows]
 
-ENTRIES_PER_ZONE = (5, 7, 9, 12, 16)
-SECTION = re.compile(
+COMPARED_ENTRIES_PER_ZONE = (5, 7, 9, 12, 16)
+TABLE_SECTION = re.compile(
     r"(<!-- table: (?P<name>[a-z-]+) -->\n).*?(<!-- end -->)", re.DOTALL
 )
 
-renders_by_table: dict[str, Render] = {}
+table_functions_by_name: dict[str, TableFunction] = {}
 
 
-def table(name: str) -> Callable[[Render], Render]:
-    """Register a function that returns a table's rows, header first."""
+def table(name: str) -> Callable[[TableFunction], TableFunction]:
+    """Register a function that returns the rows of one table, header first.
 
-    def register(render: Render) -> Render:
-        renders_by_table[name] = render
-        return render
+    :param name: name of the table in the page's ``<!-- table: ... -->``
+        comment.
+    """
+
+    def register(table_function: TableFunction) -> TableFunction:
+        table_functions_by_name[name] = table_function
+        return table_function
 
     return register
 
 
 def refresh_page(text: str, measurement: Measurement) -> str:
-    """Return the page with its tables made anew from a measurement.
+    """Return the page with its tables regenerated from a measurement.
 
-    :raises MeasurementError: if the page names an unknown table.
+    :param text: Markdown text of the page.
+    :raises MeasurementError: if the page names an unknown table, or a
+        table needs a slope that the measurement lacks.
     """
 
     def replace(match: re.Match[str]) -> str:
-        render = renders_by_table.get(match["name"])
-        if render is None:
-            raise MeasurementError(f"no table {match['name']!r}")
-        return match[1] + _markdown(render(measurement)) + match[3]
+        table_function = table_functions_by_name.get(match["name"])
+        if table_function is None:
+            raise MeasurementError(
+                f"no table {match['name']!r}; the known tables are "
+                f"{', '.join(sorted(table_functions_by_name))}"
+            )
+        return (
+            match[1] + _markdown_table(table_function(measurement)) + match[3]
+        )
 
-    return SECTION.sub(replace, text)
+    return TABLE_SECTION.sub(replace, text)
 
 
 @table("slopes")
 def slopes(measurement: Measurement) -> Rows:
-    """List the measured slopes."""
+    """Return one row for each measured slope."""
     rows: Rows = [("Slope", "Unit", "Per item", "Fixed", "Residual")]
     rows += [
         (
@@ -71,70 +82,76 @@
 
 
 @table("lines")
-def target_lines(measurement: Measurement) -> Rows:
-    """Go through the target line by line, as built."""
+def requirements(measurement: Measurement) -> Rows:
+    """Return one row for each requirement, with the layout as built."""
     sizing = Sizing(Target(), Plan.as_built(), measurement)
     rows: Rows = [("Target", "Mechanism", "Figure", "Headroom", "Basis")]
-    return rows + [tuple(make(sizing)) for make in lines]
+    return rows + [
+        tuple(row_function(sizing)) for row_function in row_functions
+    ]
 
 
 @table("roles-as-built")
 def roles_as_built(measurement: Measurement) -> Rows:
-    """List the roles with the intervals of today's code."""
-    return _roles(Sizing(Target(), Plan.as_built(), measurement))
+    """Return the cost of each role with the layout as built."""
+    return _role_rows(Sizing(Target(), Plan.as_built(), measurement))
 
 
 @table("roles-with-changes")
 def roles_with_changes(measurement: Measurement) -> Rows:
-    """List the roles with the changes that the page names."""
-    return _roles(Sizing(Target(), Plan.with_changes(), measurement))
+    """Return the cost of each role with the planned changes."""
+    return _role_rows(Sizing(Target(), Plan.with_changes(), measurement))
 
 
 @table("entries-as-built")
 def entries_as_built(measurement: Measurement) -> Rows:
-    """Compare numbers of entry instances in a zone, as built."""
-    return _entries([Plan.as_built(n) for n in ENTRIES_PER_ZONE], measurement)
+    """Compare numbers of entry instances per zone, as built."""
+    return _entry_count_rows(
+        [Plan.as_built(n) for n in COMPARED_ENTRIES_PER_ZONE], measurement
+    )
 
 
 @table("entries-with-changes")
 def entries_with_changes(measurement: Measurement) -> Rows:
-    """Compare numbers of entry instances in a zone, with the changes."""
-    plans = [Plan.with_changes(n) for n in ENTRIES_PER_ZONE]
-    return _entries(plans, measurement)
+    """Compare numbers of entry instances per zone, with the changes."""
+    plans = [Plan.with_changes(n) for n in COMPARED_ENTRIES_PER_ZONE]
+    return _entry_count_rows(plans, measurement)
 
 
 @table("idle")
 def idle(measurement: Measurement) -> Rows:
-    """Compare an idle entry process with the limits."""
+    """Compare an idle entry process with the resource limits."""
     rows: Rows = [("Idle entry process", "Measured", "Limit", "Headroom")]
-    found = measurement.idle
-    if found is None:
+    idle_cost = measurement.idle
+    if idle_cost is None:
         return rows
     target = Target()
     rows += [
         (
             "processor",
-            f"{found.core_share:.2%} of a core",
+            f"{idle_cost.core_share:.2%} of a core",
             f"{target.control_core_share:.1%}",
-            _headroom(found.core_share, target.control_core_share),
+            _format_headroom(idle_cost.core_share, target.control_core_share),
         ),
         (
             "memory",
-            f"{found.memory_mb:.0f} MB",
+            f"{idle_cost.memory_mb:.0f} MB",
             f"{target.control_memory_mb} MB",
-            _headroom(found.memory_mb, target.control_memory_mb),
+            _format_headroom(idle_cost.memory_mb, target.control_memory_mb),
         ),
         (
             "traffic",
-            f"{found.bytes_per_second / 1000:.1f} KB/s",
+            f"{idle_cost.bytes_per_second / 1000:.1f} KB/s",
             f"{target.control_bytes_per_second / 1000:.0f} KB/s",
-            _headroom(found.bytes_per_second, target.control_bytes_per_second),
+            _format_headroom(
+                idle_cost.bytes_per_second, target.control_bytes_per_second
+            ),
         ),
     ]
     return rows
 
 
-def _entries(plans: list[Plan], measurement: Measurement) -> Rows:
+def _entry_count_rows(plans: list[Plan], measurement: Measurement) -> Rows:
     rows: Rows = [
         (
             "Entries a zone",
@@ -148,7 +165,7 @@
     ]
     for plan in plans:
         sizing = Sizing(Target(), plan, measurement)
-        load = total(sizing)
+        load = total_load(sizing)
         rows.append(
             (
                 str(plan.entries_per_zone),
@@ -157,13 +174,13 @@
                 f"{load.core_share:.2%}",
                 f"{load.memory_mb:.0f} MB",
                 f"{load.bytes_per_second / 1000:.1f} KB/s",
-                "yes" if _is_within(load) else "no",
+                "yes" if _is_within_limits(load) else "no",
             )
         )
     return rows
 
 
-def _roles(sizing: Sizing) -> Rows:
+def _role_rows(sizing: Sizing) -> Rows:
     rows: Rows = [
         (
             "Role",
@@ -184,16 +201,22 @@
                 role.state,
                 role.messages,
                 role.mechanism,
-                *_cells(load),
+                *_load_cells(load),
             )
         )
     rows.append(
-        ("all, with the idle process", "", "", "", *_cells(total(sizing)))
+        (
+            "all, with the idle process",
+            "",
+            "",
+            "",
+            *_load_cells(total_load(sizing)),
+        )
     )
     return rows
 
 
-def _cells(load: Load) -> tuple[str, ...]:
+def _load_cells(load: Load) -> tuple[str, ...]:
     return (
         f"{load.messages_per_second:.1f}",
         f"{load.core_share:.2%}",
@@ -202,7 +225,7 @@
     )
 
 
-def _is_within(load: Load) -> bool:
+def _is_within_limits(load: Load) -> bool:
     target = Target()
     return (
         load.core_share <= target.control_core_share
@@ -211,16 +234,19 @@
     )
 
 
-def _headroom(found: float, limit: float) -> str:
-    return f"{limit / found:.1f}x" if found else "not measurable"
+def _format_headroom(measured: float, limit: float) -> str:
+    return f"{limit / measured:.1f}x" if measured else "not measurable"
 
 
-def _markdown(rows: Rows) -> str:
+def _markdown_table(rows: Rows) -> str:
     header, *body = rows
-    lines = [_line(header), _line(tuple("---" for _ in header))]
-    lines += [_line(row) for row in body]
+    lines = [
+        _markdown_row(header),
+        _markdown_row(tuple("---" for _ in header)),
+    ]
+    lines += [_markdown_row(row) for row in body]
     return "\n".join(lines) + "\n"
 
 
-def _line(cells: tuple[str, ...]) -> str:
+def _markdown_row(cells: tuple[str, ...]) -> str:
     return "| " + " | ".join(cells) + " |"
--- a/src/magnoliapitch/capacity/plan.py
+++ b/src/magnoliapitch/capacity/plan.py
@@ -1,4 +1,4 @@
-"""How the target would be laid out over entry instances."""
+"""Number of entry instances, and intervals at which they communicate."""
 
 from __future__ import annotations
 
@@ -13,67 +13,78 @@
 
 
 RENEWALS_PER_LEASE = 3
-ZONES = 22
+ZONE_COUNT = 22
 
 
 class Plan(NamedTuple):
-    """A layout of the target.
+    """Cluster layout and communication intervals of the entry instances.
 
     :param entries_per_zone: entry instances in each availability zone.
-    :param lease_ttl_s: validity of a task lease.
-    :param poll_s: interval between views of a worker that runs tasks.
-    :param heartbeat_s: interval between heartbeats to a peer.
-    :param remote_links: peers in other zones that an entry talks to.
-    :param presence_s: interval between presence records of an entry.
-    :param catalogue_entries_per_team: entries that a team keeps.
-    :param snapshot_interval_s: interval between snapshots.
-    :param streams: log streams that share the task records; an entry
-        follows one of them.
-    :param tasks_per_end: tasks of a job that one end entry covers.
-    :param lean_views: whether a worker's reply lists only what changed.
-    :param starts_per_call: starts that one call to a worker carries.
-    :param list_refresh_s: interval between reads of the instance list.
-    :param list_by_change: whether a read returns only the changed
-        instances of the own zone.
+    :param lease_ttl_s: time to live of a task lease, in seconds.
+    :param poll_interval_s: interval in seconds at which the state of a worker
+        that runs tasks is read.
+    :param heartbeat_interval_s: interval in seconds between heartbeats to a
+        peer.
+    :param remote_links: number of peers in other zones to which an entry
+        sends heartbeats.
+    :param presence_interval_s: interval in seconds at which an entry appends
+        a record that it is alive.
+    :param catalogue_entries_per_team: catalogue entries of an average team.
+    :param snapshot_interval_s: interval between snapshots, in seconds.
+    :param log_streams: number of streams over which the log's task records
+        are spread; an entry follows one of them.
+    :param tasks_per_end_entry: ended tasks of a job that one log entry
+        records.
+    :param incremental_views: whether a worker's reply lists only the tasks
+        that changed.
+    :param starts_per_call: tasks that one call to a worker starts.
+    :param list_refresh_interval_s: interval in seconds between reads of the
+        platform's instance list.
+    :param incremental_list: whether a read of the instance list returns
+        only the changed instances of the entry's own zone.
     """
 
     entries_per_zone: int = 7
     lease_ttl_s: float = LEASE_TTL_MAX_MS / 1000
-    poll_s: float = POLL_BUSY_MS / 1000
-    heartbeat_s: float = HEARTBEAT_INTERVAL_MS / 1000
+    poll_interval_s: float = POLL_BUSY_MS / 1000
+    heartbeat_interval_s: float = HEARTBEAT_INTERVAL_MS / 1000
     remote_links: int = REMOTE_LINKS
-    presence_s: float = PRESENCE_INTERVAL_MS / 1000
+    presence_interval_s: float = PRESENCE_INTERVAL_MS / 1000
     catalogue_entries_per_team: int = 10
     snapshot_interval_s: float = 600
-    streams: int = 1
-    tasks_per_end: int = 1
-    lean_views: bool = False
+    log_streams: int = 1
+    tasks_per_end_entry: int = 1
+    incremental_views: bool = False
     starts_per_call: int = 1
-    list_refresh_s: float = REFRESH_INTERVAL_MS / 1000
-    list_by_change: bool = False
+    list_refresh_interval_s: float = REFRESH_INTERVAL_MS / 1000
+    incremental_list: bool = False
 
     @classmethod
     def as_built(cls, entries_per_zone: int = 7) -> Plan:
-        """Return the layout with the intervals of today's code."""
+        """Return the layout with the intervals that the code uses."""
         return cls(entries_per_zone)
 
     @classmethod
     def with_changes(cls, entries_per_zone: int = 12) -> Plan:
-        """Return the layout with the changes that the page names."""
+        """Return the layout with the changes that the capacity page plans."""
         return cls(
             entries_per_zone,
             lease_ttl_s=60,
-            poll_s=20,
-            heartbeat_s=4,
-            streams=ZONES,
-            tasks_per_end=10,
-            lean_views=True,
+            poll_interval_s=20,
+            heartbeat_interval_s=4,
+            log_streams=ZONE_COUNT,
+            tasks_per_end_entry=10,
+            incremental_views=True,
             starts_per_call=4,
-            list_refresh_s=2,
-            list_by_change=True,
+            list_refresh_interval_s=2,
+            incremental_list=True,
         )
 
     @property
-    def call_s(self) -> float:
-        """Interval between calls to a worker; a renewal is a view too."""
-        return min(self.poll_s, self.lease_ttl_s / RENEWALS_PER_LEASE)
+    def call_interval_s(self) -> float:
+        """Seconds between calls to a worker.
+
+        A lease renewal also returns the worker's state, so the shorter of
+        the two intervals counts.
+        """
+        return min(self.poll_interval_s, self.lease_ttl_s / RENEWALS_PER_LEASE)
--- a/src/magnoliapitch/capacity/role.py
+++ b/src/magnoliapitch/capacity/role.py
@@ -1,4 +1,4 @@
-"""Cost of one role of an entry instance."""
+"""Resource use of a role, and the inputs from which it is computed."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from magnoliapitch.capacity.target import Target
 
 
-MICROSECONDS_PER_SECOND = 1e6
-BYTES_PER_MB = 1 << 20
+US_PER_S = 1e6
+BYTES_PER_MIB = 1 << 20
 
 
 class Load(NamedTuple):
-    """What one role costs one entry instance.
+    """Resources that one role uses on one entry instance.
 
-    :param core_share: share of a core.
-    :param memory_mb: mebibytes of state.
-    :param bytes_per_second: traffic.
-    :param messages_per_second: calls made and answered.
+    :param core_share: processor use, 1.0 for one whole core.
+    :param memory_mb: memory for state, in mebibytes.
+    :param bytes_per_second: network traffic.
+    :param messages_per_second: calls sent and received.
     """
 
     core_share: float = 0.0
@@ -29,7 +29,7 @@
 
 
 class Sizing(NamedTuple):
-    """Target, layout and measured slopes together."""
+    """Inputs of the estimate: load, cluster layout and measured costs."""
 
     target: Target
     plan: Plan
@@ -37,28 +37,43 @@
 
     @property
     def entries(self) -> int:
-        """Entry instances in all zones."""
+        """Number of entry instances in all zones."""
         return self.target.zones * self.plan.entries_per_zone
 
     @property
     def workers_per_entry(self) -> float:
-        """Workers that one entry owns."""
+        """Average number of workers that one entry instance owns."""
         return self.target.workers / self.entries
 
     @property
     def catalogue_entries(self) -> int:
-        """Entries of the catalogue."""
+        """Number of entries in the catalogue of all teams."""
         return self.target.teams * self.plan.catalogue_entries_per_team
 
-    def cost(self, name: str, size: float = 1.0) -> float:
-        """Return a slope times a size, without its fixed part."""
+    def marginal_cost(self, name: str, size: float = 1.0) -> float:
+        """Return the cost of a number of items, without the fixed cost.
+
+        :param name: name of the measured slope.
+        :param size: number of items, or items per second.
+        :raises MeasurementError: if the slope was not measured.
+        """
         return self.measurement.slope(name).per_item * size
 
-    def line(self, name: str, size: float) -> float:
-        """Return the fitted cost at a size, with its fixed part."""
+    def fitted_cost(self, name: str, size: float) -> float:
+        """Return the cost of a number of items, including the fixed cost.
+
+        :param name: name of the measured slope.
+        :param size: number of items.
+        :raises MeasurementError: if the slope was not measured.
+        """
         slope = self.measurement.slope(name)
         return slope.fixed + slope.per_item * size
 
     def core_share(self, name: str, per_second: float) -> float:
-        """Return the share of a core that events of a slope take."""
-        return self.cost(name, per_second) / MICROSECONDS_PER_SECOND
+        """Return the processor use of events at a given rate.
+
+        :param name: name of a measured slope in microseconds an event.
+        :param per_second: events per second.
+        :raises MeasurementError: if the slope was not measured.
+        """
+        return self.marginal_cost(name, per_second) / US_PER_S
--- a/src/magnoliapitch/capacity/roles.py
+++ b/src/magnoliapitch/capacity/roles.py
@@ -1,32 +1,33 @@
-"""The roles of an entry instance and their costs."""
+"""Estimates the resource use of each role of an entry instance."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-from magnoliapitch.capacity.role import BYTES_PER_MB
-from magnoliapitch.capacity.role import MICROSECONDS_PER_SECOND
+from magnoliapitch.capacity.role import BYTES_PER_MIB
+from magnoliapitch.capacity.role import US_PER_S
 from magnoliapitch.capacity.role import Load
 from magnoliapitch.capacity.role import Sizing
 
 
-LoadOf = Callable[[Sizing], Load]
+LoadFunction = Callable[[Sizing], Load]
 
 
 class Role(NamedTuple):
-    """A role with its mechanism and arithmetic.
+    """One task of an entry instance, described for the capacity page.
 
-    :param state: what it keeps in memory.
-    :param messages: what it sends and receives.
-    :param mechanism: what keeps its cost bounded.
+    :param state: description of what it keeps in memory.
+    :param messages: description of what it sends and receives.
+    :param mechanism: description of what limits its cost.
+    :param load: function that computes its resource use.
     """
 
     name: str
     state: str
     messages: str
     mechanism: str
-    load: LoadOf
+    load: LoadFunction
 
 
 roles_by_name: dict[str, Role] = {}
@@ -34,10 +35,10 @@
 
 def role(
     name: str, state: str, messages: str, mechanism: str
-) -> Callable[[LoadOf], LoadOf]:
-    """Register the arithmetic of a role."""
+) -> Callable[[LoadFunction], LoadFunction]:
+    """Register the function that computes the resource use of a role."""
 
-    def register(load: LoadOf) -> LoadOf:
+    def register(load: LoadFunction) -> LoadFunction:
         roles_by_name[name] = Role(name, state, messages, mechanism, load)
         return load
 
@@ -51,26 +52,37 @@
     "batched records; one fold a stream",
 )
 def log_follower(sizing: Sizing) -> Load:
-    """Fold every entry of the followed stream at the peak."""
+    """Return the cost of applying every entry of the followed log stream.
+
+    Task ends are counted at the peak rate of task starts.
+    """
     target = sizing.target
-    ends = end_entries_per_second(sizing) / sizing.plan.streams
-    submits = target.jobs_per_second / sizing.plan.streams
+    task_ends = task_end_entries_per_second(sizing) / sizing.plan.log_streams
+    submissions = target.jobs_per_second / sizing.plan.log_streams
     changes = target.changes_per_second
-    share = sizing.core_share(
+    core_share = sizing.core_share(
         "processor time of a folded entry, batches of 50",
-        ends + submits + changes,
+        task_ends + submissions + changes,
+    )
+    open_jobs = target.running_tasks / sizing.plan.log_streams
+    memory_mb = (
+        sizing.marginal_cost("memory of an open job", open_jobs)
+        + sizing.marginal_cost(
+            "memory of a catalogue entry", sizing.catalogue_entries
+        )
+        + sizing.marginal_cost("memory of a member", sizing.entries)
+    ) / BYTES_PER_MIB
+    bytes_per_second = sizing.marginal_cost(
+        "bytes on the wire of a log read, by entries", task_ends
+    )
+    bytes_per_second += sizing.marginal_cost(
+        "bytes of a job submission in a record", submissions
+    )
+    bytes_per_second += sizing.marginal_cost(
+        "bytes of a catalogue change in a record", changes
     )
-    jobs = target.running_tasks / sizing.plan.streams
-    memory = (
-        sizing.cost("memory of an open job", jobs)
-        + sizing.cost("memory of a catalogue entry", sizing.catalogue_entries)
-        + sizing.cost("memory of a member", sizing.entries)
-    ) / BYTES_PER_MB
-    traffic = sizing.cost("bytes on the wire of a log read, by entries", ends)
-    traffic += sizing.cost("bytes of a job submission in a record", submits)
-    traffic += sizing.cost("bytes of a catalogue change in a record", changes)
-    reads = appends_per_second(sizing) / sizing.plan.streams
-    return Load(share, memory, traffic, reads)
+    reads = appends_per_second(sizing) / sizing.plan.log_streams
+    return Load(core_share, memory_mb, bytes_per_second, reads)
 
 
 @role(
@@ -80,13 +92,15 @@
     "one call a worker renews every lease and returns the whole view",
 )
 def owner_of_racks(sizing: Sizing) -> Load:
-    """View every owned worker and renew its leases."""
-    calls = sizing.workers_per_entry / sizing.plan.call_s
+    """Return the cost of reading owned workers and renewing their leases."""
+    calls = sizing.workers_per_entry / sizing.plan.call_interval_s
     return Load(
         sizing.core_share("processor time of a renewal over HTTP", calls),
-        sizing.cost("memory of an owned worker", sizing.workers_per_entry)
-        / BYTES_PER_MB,
-        calls * _call_bytes(sizing, 0),
+        sizing.marginal_cost(
+            "memory of an owned worker", sizing.workers_per_entry
+        )
+        / BYTES_PER_MIB,
+        calls * _worker_call_bytes(sizing, 0),
         calls,
     )
 
@@ -98,16 +112,19 @@
     "starts for the same worker share a call",
 )
 def placer(sizing: Sizing) -> Load:
-    """Decide and start tasks at the peak."""
+    """Return the cost of placing and starting tasks at the peak rate."""
     starts = sizing.target.starts_per_second / sizing.entries
     calls = starts / sizing.plan.starts_per_call
-    share = sizing.core_share("processor time of a start", starts)
-    share += sizing.core_share("processor time of a renewal over HTTP", calls)
-    queued = sizing.target.running_tasks / sizing.entries
+    core_share = sizing.core_share("processor time of a start", starts)
+    core_share += sizing.core_share(
+        "processor time of a renewal over HTTP", calls
+    )
+    queued_tasks = sizing.target.running_tasks / sizing.entries
     return Load(
-        share,
-        sizing.cost("memory of a queued task", queued) / BYTES_PER_MB,
-        calls * _call_bytes(sizing, sizing.plan.starts_per_call),
+        core_share,
+        sizing.marginal_cost("memory of a queued task", queued_tasks)
+        / BYTES_PER_MIB,
+        calls * _worker_call_bytes(sizing, sizing.plan.starts_per_call),
         calls,
     )
 
@@ -119,19 +136,25 @@
     "the newest list is kept; placement never waits for it",
 )
 def list_reader(sizing: Sizing) -> Load:
-    """Read the platform's list of instances."""
+    """Return the cost of reading the platform's list of instances."""
     target = sizing.target
-    listed = float(target.workers + sizing.entries)
-    reads = 1 / sizing.plan.list_refresh_s
-    instances = listed * reads
-    if sizing.plan.list_by_change:
-        listed /= target.zones
-        instances = target.instance_changes_per_second / target.zones
-    wire = "bytes on the wire of an instance list"
+    listed_instances = float(target.workers + sizing.entries)
+    reads = 1 / sizing.plan.list_refresh_interval_s
+    instances_per_second = listed_instances * reads
+    if sizing.plan.incremental_list:
+        listed_instances /= target.zones
+        instances_per_second = (
+            target.instance_changes_per_second / target.zones
+        )
+    wire_slope = "bytes on the wire of an instance list"
     return Load(
-        sizing.core_share("processor time of a listed instance", instances),
-        sizing.cost("memory of a listed worker", listed) / BYTES_PER_MB,
-        reads * sizing.line(wire, 0) + sizing.cost(wire, instances),
+        sizing.core_share(
+            "processor time of a listed instance", instances_per_second
+        ),
+        sizing.marginal_cost("memory of a listed worker", listed_instances)
+        / BYTES_PER_MIB,
+        reads * sizing.fitted_cost(wire_slope, 0)
+        + sizing.marginal_cost(wire_slope, instances_per_second),
         reads,
     )
 
@@ -143,14 +166,15 @@
     "full mesh in a zone only; links to other zones do not grow",
 )
 def member(sizing: Sizing) -> Load:
-    """Exchange heartbeats."""
+    """Return the cost of heartbeats to and from peers."""
     peers = sizing.plan.entries_per_zone - 1 + sizing.plan.remote_links
-    beats = 2 * peers / sizing.plan.heartbeat_s
+    heartbeats = 2 * peers / sizing.plan.heartbeat_interval_s
     return Load(
-        sizing.core_share("processor time of a heartbeat", beats),
-        sizing.cost("memory of a member", sizing.entries) / BYTES_PER_MB,
-        sizing.cost("bytes on the wire of heartbeats", beats),
-        beats,
+        sizing.core_share("processor time of a heartbeat", heartbeats),
+        sizing.marginal_cost("memory of a member", sizing.entries)
+        / BYTES_PER_MIB,
+        sizing.marginal_cost("bytes on the wire of heartbeats", heartbeats),
+        heartbeats,
     )
 
 
@@ -161,17 +185,24 @@
     "group commit under a budget of appends",
 )
 def log_writer(sizing: Sizing) -> Load:
-    """Append ends of tasks, submissions and presence."""
-    ends = end_entries_per_second(sizing) / sizing.entries
-    submits = sizing.target.jobs_per_second / sizing.entries
-    traffic = sizing.cost("bytes of a task end in a record", ends)
-    traffic += sizing.cost("bytes of a job submission in a record", submits)
+    """Return the cost of appending task ends and job submissions.
+
+    Presence records count only towards the rate of appends.
+    """
+    task_ends = task_end_entries_per_second(sizing) / sizing.entries
+    submissions = sizing.target.jobs_per_second / sizing.entries
+    bytes_per_second = sizing.marginal_cost(
+        "bytes of a task end in a record", task_ends
+    )
+    bytes_per_second += sizing.marginal_cost(
+        "bytes of a job submission in a record", submissions
+    )
     return Load(
         sizing.core_share(
-            "processor time of an encoded entry", ends + submits
+            "processor time of an encoded entry", task_ends + submissions
         ),
         0.0,
-        traffic,
+        bytes_per_second,
         appends_per_second(sizing) / sizing.entries,
     )
 
@@ -183,47 +214,61 @@
     "one writer a window, chosen by rendezvous hashing",
 )
 def snapshot_writer(sizing: Sizing) -> Load:
-    """Write the snapshots of one stream, shared by its entries."""
-    size = snapshot_bytes(sizing)
-    writers = sizing.entries / sizing.plan.streams
+    """Return the cost of writing the snapshots of one log stream.
+
+    The entry instances of a stream take turns, so each has a share.
+    """
+    size_bytes = snapshot_bytes(sizing)
+    writers = sizing.entries / sizing.plan.log_streams
     interval_s = sizing.plan.snapshot_interval_s
-    encode_us = sizing.cost(
+    encode_us = sizing.marginal_cost(
         "processor time of a snapshot, by jobs",
-        sizing.target.running_tasks / sizing.plan.streams,
+        sizing.target.running_tasks / sizing.plan.log_streams,
     )
     return Load(
-        encode_us / MICROSECONDS_PER_SECOND / interval_s / writers,
-        size / BYTES_PER_MB,
-        size / interval_s / writers,
+        encode_us / US_PER_S / interval_s / writers,
+        size_bytes / BYTES_PER_MIB,
+        size_bytes / interval_s / writers,
         0.0,
     )
 
 
 def snapshot_bytes(sizing: Sizing) -> float:
-    """Return the size of one snapshot of a stream, in bytes."""
-    jobs = sizing.target.running_tasks / sizing.plan.streams
-    return sizing.cost("bytes of a snapshot, by jobs", jobs)
+    """Return the size of one snapshot of a log stream, in bytes."""
+    open_jobs = sizing.target.running_tasks / sizing.plan.log_streams
+    return sizing.marginal_cost("bytes of a snapshot, by jobs", open_jobs)
+
 
+def task_end_entries_per_second(sizing: Sizing) -> float:
+    """Return the rate of log entries that record ended tasks at the peak.
 
-def end_entries_per_second(sizing: Sizing) -> float:
-    """Return the entries that record ends of tasks at the peak."""
-    return sizing.target.starts_per_second / sizing.plan.tasks_per_end
+    Tasks end as often as they start.
+    """
+    return sizing.target.starts_per_second / sizing.plan.tasks_per_end_entry
 
 
 def appends_per_second(sizing: Sizing) -> float:
-    """Return the appends of all entries at the peak.
+    """Return the rate of appends by all entry instances at the peak.
 
-    An entry appends at most once in its share of the log's budget, with
-    everything that waits by then.
+    The rate is limited to the log's append budget: an entry instance that
+    has used its share of the budget collects further entries and appends
+    them together.
     """
-    wanted = end_entries_per_second(sizing) + sizing.target.jobs_per_second
-    wanted += sizing.entries / sizing.plan.presence_s
-    return min(float(sizing.target.log_appends_per_second), wanted)
+    needed = (
+        task_end_entries_per_second(sizing) + sizing.target.jobs_per_second
+    )
+    needed += sizing.entries / sizing.plan.presence_interval_s
+    return min(float(sizing.target.log_appends_per_second), needed)
+
 
+def _worker_call_bytes(sizing: Sizing, started: int) -> float:
+    """Return the size in bytes of a call to a worker and its reply.
 
-def _call_bytes(sizing: Sizing, started: int) -> float:
-    """Return the bytes of a call that renews or starts tasks."""
+    :param started: tasks that the call starts, 0 for a renewal.
+    """
     tasks = sizing.target.tasks_per_worker + 1 + started
-    if sizing.plan.lean_views:
+    if sizing.plan.incremental_views:
         tasks = float(started)
-    return sizing.line("bytes on the wire of a renewal, by tasks", tasks)
+    return sizing.fitted_cost(
+        "bytes on the wire of a renewal, by tasks", tasks
+    )
--- a/src/magnoliapitch/capacity/total_load.py
+++ b/src/magnoliapitch/capacity/total_load.py
@@ -1,4 +1,4 @@
-"""All roles of one entry instance together."""
+"""Adds up the resource use of all roles of one entry instance."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from magnoliapitch.capacity.roles import roles_by_name
 
 
-def total(sizing: Sizing) -> Load:
-    """Return the cost of all roles of one entry together.
+def total_load(sizing: Sizing) -> Load:
+    """Return the resource use of all roles of one entry instance.
 
-    The memory of an idle process counts once, where it was measured.
+    The memory of an idle process is added once, if it was measured.
     """
     loads = [role.load(sizing) for role in roles_by_name.values()]
-    found = sizing.measurement.idle
-    base_mb = found.memory_mb if found else 0.0
+    idle = sizing.measurement.idle
+    idle_memory_mb = idle.memory_mb if idle else 0.0
     return Load(
         sum(load.core_share for load in loads),
-        base_mb + sum(load.memory_mb for load in loads),
+        idle_memory_mb + sum(load.memory_mb for load in loads),
         sum(load.bytes_per_second for load in loads),
         sum(load.messages_per_second for load in loads),
     )
