--- a/src/magnoliapitch/spec/claim.py
+++ b/src/magnoliapitch/spec/claim.py
@@ -1,14 +1,16 @@
-"""Successive owners of workers: claim leases, grants and restarts.
-
-Two protocols share the steps. In the first, one worker has room for one
-task and each owner wants to run a task of its own. In the second, the owners
-want to run the same task, on any of two workers.
-
-An owner decides on a view of one worker at once; that it may pause before it
-sends is the same as a message that stays in flight, for any time or for
-ever. Clocks of workers advance independently, and expiries are compared only
-on the worker's clock. docs/design/ownership.md names the function behind
-each step.
+"""Model of a change of the instance that owns workers, for model checking.
+
+The model covers claim leases, task grants and worker restarts. It has two
+variants. In the first, one worker has room for one task and each owner wants
+to run a task of its own. In the second, all owners want to run the same task,
+on either of two workers.
+
+An owner reads the state of one worker and decides in the same step. A pause
+of the owner before it sends needs no step of its own: it has the same effect
+as a message that stays in flight, for any time or for ever. The workers'
+clocks advance independently, and expiry times are compared only on the
+worker's own clock. docs/design/ownership.md names the function that
+implements each step.
 """
 
 from __future__ import annotations
@@ -16,17 +18,17 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from magnoliapitch.spec.claim_state import NONE
+from magnoliapitch.spec.claim_state import NO_VALUE
 from magnoliapitch.spec.claim_state import Attempt
 from magnoliapitch.spec.claim_state import Bounds
 from magnoliapitch.spec.claim_state import Guards
-from magnoliapitch.spec.claim_state import Known
+from magnoliapitch.spec.claim_state import InitialState
 from magnoliapitch.spec.claim_state import Lease
 from magnoliapitch.spec.claim_state import Message
 from magnoliapitch.spec.claim_state import Owner
-from magnoliapitch.spec.claim_state import Start
+from magnoliapitch.spec.claim_state import OwnerView
 from magnoliapitch.spec.claim_state import State
-from magnoliapitch.spec.claim_state import Step
+from magnoliapitch.spec.claim_state import Transition
 from magnoliapitch.spec.claim_state import Worker
 
 
@@ -35,219 +37,296 @@
 
 
 class ClaimSpec:
-    """Transitions of the protocol under some guards."""
+    """Initial state and transitions of the model.
+
+    :param guards: checks of the protocol that are switched on.
+    :param bounds: size of the explored state space.
+    """
 
     def __init__(self, guards: Guards, bounds: Bounds) -> None:
         self._guards = guards
         self._bounds = bounds
 
     def initial(self) -> State:
-        """Return the state in which the first owner places its claim."""
-        count = self._bounds.workers
-        if self._bounds.start is not Start.EARLY:
-            return self._initial_late()
-        known = (Known(),) * count
-        owners = [Owner(1, (Known(0),) * count)]
-        owners += [Owner(0, known)] * (self._bounds.owners - 1)
-        lease = Lease(0, 0, self._bounds.ttl)
+        """Return the initial state that the bounds name."""
+        worker_count = self._bounds.worker_count
+        if self._bounds.initial_state is not InitialState.EARLY:
+            return self._late_initial_state()
+        views = (OwnerView(),) * worker_count
+        owners = [Owner(1, (OwnerView(0),) * worker_count)]
+        owners += [Owner(0, views)] * (self._bounds.owner_count - 1)
+        lease = Lease(0, 0, self._bounds.ttl_ticks)
         messages = tuple(
-            Message(number, 0, "place", lease) for number in range(count)
+            Message(worker_index, 0, "place", lease)
+            for worker_index in range(worker_count)
         )
-        return State(1, tuple(owners), (Worker(),) * count, messages)
-
-    def _initial_late(self) -> State:
-        ttl = self._bounds.ttl
-        was_open = Known(0, 0, 0, was_open=True)
-        settling = Known(0, ttl - 1, 2 * ttl - 1)
-        first = Owner(1, (was_open,) * 2)
-        settled = Worker(ttl, claims=(Lease(1, 0, ttl + 1),))
-        placed = Worker(ttl, claims=(Lease(1, ttl - 1, ttl + 1),))
-        if self._bounds.start is Start.BUSY:
-            attempt = Attempt(1, 0, ttl + 1)
-            first = first._replace(attempt=attempt, may_start=False)
-            placed = placed._replace(tasks=(Lease(0, 0, ttl + 1),))
-        second = Owner(2, (was_open, settling))
-        return State(2, (first, second), (settled, placed))
-
-    def transitions(self, values: tuple[Any, ...]) -> list[Step]:
-        """Return every step from a state."""
+        return State(1, tuple(owners), (Worker(),) * worker_count, messages)
+
+    def _late_initial_state(self) -> State:
+        ttl_ticks = self._bounds.ttl_ticks
+        settled_view = OwnerView(0, 0, 0, was_settled=True)
+        settling_view = OwnerView(0, ttl_ticks - 1, 2 * ttl_ticks - 1)
+        first = Owner(1, (settled_view,) * 2)
+        settled_worker = Worker(
+            ttl_ticks, claims=(Lease(1, 0, ttl_ticks + 1),)
+        )
+        unsettled_worker = Worker(
+            ttl_ticks, claims=(Lease(1, ttl_ticks - 1, ttl_ticks + 1),)
+        )
+        if self._bounds.initial_state is InitialState.BUSY:
+            attempt = Attempt(1, 0, ttl_ticks + 1)
+            first = first._replace(attempt=attempt, may_attempt=False)
+            unsettled_worker = unsettled_worker._replace(
+                tasks=(Lease(0, 0, ttl_ticks + 1),)
+            )
+        second = Owner(2, (settled_view, settling_view))
+        return State(2, (first, second), (settled_worker, unsettled_worker))
+
+    def transitions(self, values: tuple[Any, ...]) -> list[Transition]:
+        """Return every transition from a state, with its label.
+
+        :param values: fields of the state, in the order of ``State``.
+        """
         state = State(*values)
-        steps = list(self._deliveries(state))
-        for number in range(len(state.workers)):
-            steps += self._worker_steps(state, number)
-        for index, owner in enumerate(state.owners):
-            steps += self._log_steps(state, index, owner)
+        steps = list(self._delivery_steps(state))
+        for worker_index in range(len(state.workers)):
+            steps += self._worker_steps(state, worker_index)
+        for owner_index, owner in enumerate(state.owners):
+            steps += self._claim_steps(state, owner_index, owner)
             if owner.epoch:
-                for number in range(len(state.workers)):
-                    steps += self._view_steps(state, index, number)
+                for worker_index in range(len(state.workers)):
+                    steps += self._worker_call_steps(
+                        state, owner_index, worker_index
+                    )
         return steps
 
-    def _worker_steps(self, state: State, number: int) -> Iterator[Step]:
-        worker = state.workers[number]
-        if worker.now < self._bounds.horizons[number]:
-            after = _ticked(worker)
-            yield f"tick {number}", self._with_worker(state, number, after)
-        if worker.boot < self._bounds.restarts:
-            after = Worker(0, worker.boot + 1)
-            yield f"restart {number}", self._with_worker(state, number, after)
-
-    def _log_steps(
-        self, state: State, index: int, owner: Owner
-    ) -> Iterator[Step]:
+    def _worker_steps(
+        self, state: State, worker_index: int
+    ) -> Iterator[Transition]:
+        worker = state.workers[worker_index]
+        if worker.now < self._bounds.max_clock_ticks[worker_index]:
+            next_state = _advance_clock(worker)
+            yield (
+                f"tick {worker_index}",
+                self._with_worker(state, worker_index, next_state),
+            )
+        if worker.boot < self._bounds.max_restarts:
+            next_state = Worker(0, worker.boot + 1)
+            yield (
+                f"restart {worker_index}",
+                self._with_worker(state, worker_index, next_state),
+            )
+
+    def _claim_steps(
+        self, state: State, owner_index: int, owner: Owner
+    ) -> Iterator[Transition]:
         if owner.epoch == 0:
-            epoch = state.epoch + 1
-            claimed = state._replace(epoch=epoch)
-            after = _with_owner(claimed, index, owner._replace(epoch=epoch))
-            yield f"claim {index}", after
-        elif owner.attempt is None and not owner.may_start:
-            is_current = owner.epoch == state.epoch
-            if is_current or not self._bounds.same_task:
-                retried = owner._replace(may_start=True)
-                yield f"retry {index}", _with_owner(state, index, retried)
-
-    def _view_steps(
-        self, state: State, index: int, number: int
-    ) -> Iterator[Step]:
-        worker = state.workers[number]
-        owner = self._observe(state, index, number)
-        seen = _with_owner(state, index, owner)
-        if owner != state.owners[index]:
-            yield f"view {index} {number}", seen
-        if len(state.messages) >= self._bounds.messages:
+            epoch = state.log_epoch + 1
+            claimed = state._replace(log_epoch=epoch)
+            next_state = _with_owner(
+                claimed, owner_index, owner._replace(epoch=epoch)
+            )
+            yield f"claim {owner_index}", next_state
+        elif owner.attempt is None and not owner.may_attempt:
+            is_current = owner.epoch == state.log_epoch
+            if is_current or not self._bounds.is_same_task:
+                retried = owner._replace(may_attempt=True)
+                yield (
+                    f"retry {owner_index}",
+                    _with_owner(state, owner_index, retried),
+                )
+
+    def _worker_call_steps(
+        self, state: State, owner_index: int, worker_index: int
+    ) -> Iterator[Transition]:
+        worker = state.workers[worker_index]
+        owner = self._apply_view(state, owner_index, worker_index)
+        seen_state = _with_owner(state, owner_index, owner)
+        if owner != state.owners[owner_index]:
+            yield f"view {owner_index} {worker_index}", seen_state
+        if len(state.messages) >= self._bounds.max_messages:
             return
-        if self._guards.yields and _shows_higher(state, index, worker):
+        if self._guards.stops_on_higher_epoch and _lists_higher_epoch(
+            state, owner_index, worker
+        ):
             return
-        known = owner.known[number]
-        if known.claim == NONE:
-            if owner.epoch == state.epoch or not self._guards.confirms:
-                lease = Lease(index, worker.now, worker.now + self._bounds.ttl)
-                message = Message(number, worker.boot, "place", lease)
-                yield f"place {index} {number}", _sent(seen, message)
+        view = owner.views[worker_index]
+        if view.claim_key == NO_VALUE:
+            if (
+                owner.epoch == state.log_epoch
+                or not self._guards.claims_after_log_read
+            ):
+                lease = Lease(
+                    owner_index,
+                    worker.now,
+                    worker.now + self._bounds.ttl_ticks,
+                )
+                message = Message(worker_index, worker.boot, "place", lease)
+                yield (
+                    f"place {owner_index} {worker_index}",
+                    _send(seen_state, message),
+                )
             return
-        lease = Lease(index, known.claim, worker.now + self._bounds.ttl)
-        tasks = tuple(item.owner for item in worker.tasks)
-        renewal = Message(number, worker.boot, "renew", lease, tasks)
-        if any(item.expiry < lease.expiry for item in _all(worker)):
-            yield f"renew {index} {number}", _sent(seen, renewal)
-        if self._may_grant(owner, worker, known):
-            yield f"grant {index} {number}", self._granted(seen, index, number)
-
-    def _may_grant(self, owner: Owner, worker: Worker, known: Known) -> bool:
-        if owner.attempt is not None or not owner.may_start or worker.tasks:
+        lease = Lease(
+            owner_index, view.claim_key, worker.now + self._bounds.ttl_ticks
+        )
+        tasks = tuple(held.owner for held in worker.tasks)
+        renewal = Message(worker_index, worker.boot, "renew", lease, tasks)
+        if any(held.expiry < lease.expiry for held in _all_leases(worker)):
+            yield (
+                f"renew {owner_index} {worker_index}",
+                _send(seen_state, renewal),
+            )
+        if self._can_grant(owner, worker, view):
+            yield (
+                f"grant {owner_index} {worker_index}",
+                self._send_grant(seen_state, owner_index, worker_index),
+            )
+
+    def _can_grant(
+        self, owner: Owner, worker: Worker, view: OwnerView
+    ) -> bool:
+        if owner.attempt is not None or not owner.may_attempt or worker.tasks:
             return False
-        if not self._bounds.same_task or owner.epoch == 1:
-            return known.was_open
-        if not self._guards.settles_all:
-            return known.was_open
-        return all(item.was_open for item in owner.known)
-
-    def _granted(self, state: State, index: int, number: int) -> State:
-        worker = state.workers[number]
-        owner = state.owners[index]
-        expiry = worker.now + self._bounds.ttl
-        if self._guards.within_claim:
-            key = owner.known[number].claim
-            expiry = min(expiry, _own_claims(worker, index)[key])
-        attempt = Attempt(number, worker.boot, expiry)
-        owner = owner._replace(attempt=attempt, may_start=False)
-        lease = Lease(index, 0, expiry)
-        message = Message(number, worker.boot, "grant", lease)
-        return _sent(_with_owner(state, index, owner), message)
-
-    def _observe(self, state: State, index: int, number: int) -> Owner:
-        worker = state.workers[number]
-        owner = state.owners[index]
-        known = self._observe_claim(state, index, number)
-        all_known = list(owner.known)
-        all_known[number] = known
+        if not self._bounds.is_same_task or owner.epoch == 1:
+            return view.was_settled
+        if not self._guards.settles_on_all_workers:
+            return view.was_settled
+        return all(item.was_settled for item in owner.views)
+
+    def _send_grant(
+        self, state: State, owner_index: int, worker_index: int
+    ) -> State:
+        worker = state.workers[worker_index]
+        owner = state.owners[owner_index]
+        expiry = worker.now + self._bounds.ttl_ticks
+        if self._guards.grants_end_with_claim:
+            claim_key = owner.views[worker_index].claim_key
+            expiry = min(expiry, _own_claims(worker, owner_index)[claim_key])
+        attempt = Attempt(worker_index, worker.boot, expiry)
+        owner = owner._replace(attempt=attempt, may_attempt=False)
+        lease = Lease(owner_index, 0, expiry)
+        message = Message(worker_index, worker.boot, "grant", lease)
+        return _send(_with_owner(state, owner_index, owner), message)
+
+    def _apply_view(
+        self, state: State, owner_index: int, worker_index: int
+    ) -> Owner:
+        worker = state.workers[worker_index]
+        owner = state.owners[owner_index]
+        view = self._apply_claim_view(state, owner_index, worker_index)
+        updated_views = list(owner.views)
+        updated_views[worker_index] = view
         attempt = owner.attempt
-        if attempt is not None and attempt.worker == number:
-            attempt = self._observe_attempt(attempt, worker, index)
-        if attempt is None and self._adopts(state, index, worker):
-            attempt = Attempt(number, worker.boot, 0, listed=True)
-            owner = owner._replace(may_start=False)
-        return owner._replace(known=tuple(all_known), attempt=attempt)
-
-    def _adopts(self, state: State, index: int, worker: Worker) -> bool:
-        if not self._bounds.same_task or not self._guards.adopts:
+        if attempt is not None and attempt.worker == worker_index:
+            attempt = self._apply_attempt_view(attempt, worker, owner_index)
+        if attempt is None and self._must_adopt(state, owner_index, worker):
+            attempt = Attempt(worker_index, worker.boot, 0, was_listed=True)
+            owner = owner._replace(may_attempt=False)
+        return owner._replace(views=tuple(updated_views), attempt=attempt)
+
+    def _must_adopt(
+        self, state: State, owner_index: int, worker: Worker
+    ) -> bool:
+        if (
+            not self._bounds.is_same_task
+            or not self._guards.adopts_listed_tasks
+        ):
             return False
-        return bool(worker.tasks) and not _shows_higher(state, index, worker)
-
-    def _observe_claim(self, state: State, index: int, number: int) -> Known:
-        worker = state.workers[number]
-        owner = state.owners[index]
-        known = owner.known[number]
-        if known.boot != worker.boot:
-            known = Known(worker.boot, was_open=known.was_open)
-        own = _own_claims(worker, index)
-        yields = self._guards.yields and _shows_higher(state, index, worker)
-        if not own or yields:
-            return known._replace(claim=NONE, settled=NONE)
-        if known.claim not in own:
-            key = max(own, key=lambda item: own[item])
-            waits = self._guards.waits and owner.epoch > 1
-            settled = worker.now + (self._bounds.ttl if waits else 0)
-            known = known._replace(claim=key, settled=settled)
-        if worker.now < known.settled:
-            return known._replace(was_open=False)
-        return known._replace(settled=0, was_open=True)
-
-    def _observe_attempt(
-        self, attempt: Attempt, worker: Worker, index: int
+        return bool(worker.tasks) and not _lists_higher_epoch(
+            state, owner_index, worker
+        )
+
+    def _apply_claim_view(
+        self, state: State, owner_index: int, worker_index: int
+    ) -> OwnerView:
+        worker = state.workers[worker_index]
+        owner = state.owners[owner_index]
+        view = owner.views[worker_index]
+        if view.boot != worker.boot:
+            view = OwnerView(worker.boot, was_settled=view.was_settled)
+        own_claims = _own_claims(worker, owner_index)
+        is_superseded = (
+            self._guards.stops_on_higher_epoch
+            and _lists_higher_epoch(state, owner_index, worker)
+        )
+        if not own_claims or is_superseded:
+            return view._replace(claim_key=NO_VALUE, settled_at=NO_VALUE)
+        if view.claim_key not in own_claims:
+            claim_key = max(own_claims, key=lambda key: own_claims[key])
+            must_wait = self._guards.waits_after_claim and owner.epoch > 1
+            settled_at = worker.now + (
+                self._bounds.ttl_ticks if must_wait else 0
+            )
+            view = view._replace(claim_key=claim_key, settled_at=settled_at)
+        if worker.now < view.settled_at:
+            return view._replace(was_settled=False)
+        return view._replace(settled_at=0, was_settled=True)
+
+    def _apply_attempt_view(
+        self, attempt: Attempt, worker: Worker, owner_index: int
     ) -> Attempt | None:
         if attempt.boot != worker.boot:
             return None
         owners = {lease.owner for lease in worker.tasks}
-        if index in owners or (owners and self._bounds.same_task):
-            return attempt._replace(listed=True)
-        if attempt.listed or not self._guards.waits_for_end:
+        if owner_index in owners or (owners and self._bounds.is_same_task):
+            return attempt._replace(was_listed=True)
+        if attempt.was_listed or not self._guards.waits_for_previous_attempt:
             return None
         return attempt if worker.now < attempt.expiry else None
 
-    def _deliveries(self, state: State) -> Iterator[Step]:
+    def _delivery_steps(self, state: State) -> Iterator[Transition]:
         for position, message in enumerate(state.messages):
             worker = state.workers[message.worker]
             rest = list(state.messages)
             del rest[position]
-            after = state._replace(messages=tuple(rest))
-            if message.boot == worker.boot or not self._guards.names_boot:
-                worker = self._applied(worker, message)
-            number = message.worker
-            step = f"deliver {message.action} {message.lease.owner} {number}"
-            yield step, self._with_worker(after, number, worker)
-
-    def _applied(self, worker: Worker, message: Message) -> Worker:
+            next_state = state._replace(messages=tuple(rest))
+            if message.boot == worker.boot or not self._guards.checks_boot:
+                worker = self._apply_message(worker, message)
+            worker_index = message.worker
+            label = (
+                f"deliver {message.action} {message.lease.owner} "
+                f"{worker_index}"
+            )
+            yield label, self._with_worker(next_state, worker_index, worker)
+
+    def _apply_message(self, worker: Worker, message: Message) -> Worker:
         lease = message.lease
         if not self._guards.absolute_expiry:
-            lease = lease._replace(expiry=worker.now + self._bounds.ttl)
+            lease = lease._replace(expiry=worker.now + self._bounds.ttl_ticks)
         if message.action == "renew":
-            return _renewed(worker, lease, message.tasks)
+            return _renew_leases(worker, lease, message.tasks)
         if lease.expiry <= worker.now:
             return worker
         if message.action == "grant":
-            return worker._replace(tasks=_with_lease(worker.tasks, lease))
-        return worker._replace(claims=_with_lease(worker.claims, lease))
+            return worker._replace(tasks=_add_lease(worker.tasks, lease))
+        return worker._replace(claims=_add_lease(worker.claims, lease))
 
-    def _with_worker(self, state: State, number: int, worker: Worker) -> State:
+    def _with_worker(
+        self, state: State, worker_index: int, worker: Worker
+    ) -> State:
         workers = list(state.workers)
-        workers[number] = worker
+        workers[worker_index] = worker
         messages = state.messages
-        if self._guards.absolute_expiry and self._guards.names_boot:
+        if self._guards.absolute_expiry and self._guards.checks_boot:
             messages = tuple(
-                item
-                for item in messages
-                if item.worker != number
+                message
+                for message in messages
+                if message.worker != worker_index
                 or (
-                    item.boot == worker.boot and item.lease.expiry > worker.now
+                    message.boot == worker.boot
+                    and message.lease.expiry > worker.now
                 )
             )
         return state._replace(workers=tuple(workers), messages=messages)
 
 
 def claim_protocol(guards: Guards, bounds: Bounds) -> Any:
-    """Return the protocol for the model checker.
+    """Return the model in the form that ``minicheck`` takes.
 
-    :raises ImportError: without the optional extra ``check``.
+    :param guards: checks of the protocol that are switched on.
+    :param bounds: size of the explored state space.
+    :raises ImportError: if the optional extra ``check`` is not installed.
     """
     import minicheck
 
@@ -259,79 +338,90 @@
         initial=tuple(spec.initial()),
         transitions=spec.transitions,
         invariants={
-            "reserved_within_capacity": _fits,
-            "one_place": _in_one_place if bounds.same_task else _fits,
+            "reserved_within_capacity": _is_within_capacity,
+            "one_place": _has_one_running_task
+            if bounds.is_same_task
+            else _is_within_capacity,
         },
     )
 
 
-def _fits(values: dict[str, Any]) -> bool:
+def _is_within_capacity(values: dict[str, Any]) -> bool:
     return all(len(worker.tasks) <= 1 for worker in values["workers"])
 
 
-def _in_one_place(values: dict[str, Any]) -> bool:
+def _has_one_running_task(values: dict[str, Any]) -> bool:
     return sum(len(worker.tasks) for worker in values["workers"]) <= 1
 
 
-def _ticked(worker: Worker) -> Worker:
+def _advance_clock(worker: Worker) -> Worker:
     now = worker.now + 1
     return Worker(
         now,
         worker.boot,
-        tuple(item for item in worker.claims if item.expiry > now),
-        tuple(item for item in worker.tasks if item.expiry > now),
+        tuple(lease for lease in worker.claims if lease.expiry > now),
+        tuple(lease for lease in worker.tasks if lease.expiry > now),
     )
 
 
-def _shows_higher(state: State, index: int, worker: Worker) -> bool:
-    epoch = state.owners[index].epoch
+def _lists_higher_epoch(
+    state: State, owner_index: int, worker: Worker
+) -> bool:
+    epoch = state.owners[owner_index].epoch
     return any(
-        state.owners[lease.owner].epoch > epoch for lease in _all(worker)
+        state.owners[lease.owner].epoch > epoch
+        for lease in _all_leases(worker)
     )
 
 
-def _all(worker: Worker) -> tuple[Lease, ...]:
+def _all_leases(worker: Worker) -> tuple[Lease, ...]:
     return (*worker.claims, *worker.tasks)
 
 
-def _own_claims(worker: Worker, index: int) -> dict[int, int]:
+def _own_claims(worker: Worker, owner_index: int) -> dict[int, int]:
     return {
-        lease.key: lease.expiry
+        lease.claim_key: lease.expiry
         for lease in worker.claims
-        if lease.owner == index
+        if lease.owner == owner_index
     }
 
 
-def _renewed(worker: Worker, claim: Lease, tasks: tuple[int, ...]) -> Worker:
+def _renew_leases(
+    worker: Worker, claim: Lease, tasks: tuple[int, ...]
+) -> Worker:
     claims = tuple(
-        item._replace(expiry=max(item.expiry, claim.expiry))
-        if (item.owner, item.key) == (claim.owner, claim.key)
-        else item
-        for item in worker.claims
+        lease._replace(expiry=max(lease.expiry, claim.expiry))
+        if (lease.owner, lease.claim_key) == (claim.owner, claim.claim_key)
+        else lease
+        for lease in worker.claims
     )
     renewed = tuple(
-        item._replace(expiry=max(item.expiry, claim.expiry))
-        if item.owner in tasks
-        else item
-        for item in worker.tasks
+        lease._replace(expiry=max(lease.expiry, claim.expiry))
+        if lease.owner in tasks
+        else lease
+        for lease in worker.tasks
     )
     return worker._replace(claims=claims, tasks=renewed)
 
 
-def _with_lease(leases: tuple[Lease, ...], lease: Lease) -> tuple[Lease, ...]:
-    known = {(item.owner, item.key) for item in leases}
-    if (lease.owner, lease.key) in known:
+def _add_lease(leases: tuple[Lease, ...], lease: Lease) -> tuple[Lease, ...]:
+    present = {(item.owner, item.claim_key) for item in leases}
+    if (lease.owner, lease.claim_key) in present:
         return leases
     return tuple(sorted((*leases, lease)))
 
 
-def _sent(state: State, message: Message) -> State:
+def _send(state: State, message: Message) -> State:
     if message in state.messages:
         return state
     messages = tuple(sorted((*state.messages, message)))
     return state._replace(messages=messages)
 
 
-def _with_owner(state: State, index: int, owner: Owner) -> State:
-    owners = (*state.owners[:index], owner, *state.owners[index + 1 :])
+def _with_owner(state: State, owner_index: int, owner: Owner) -> State:
+    owners = (
+        *state.owners[:owner_index],
+        owner,
+        *state.owners[owner_index + 1 :],
+    )
     return state._replace(owners=owners)
--- a/tests/spec/test_claim.py
+++ b/tests/spec/test_claim.py
@@ -6,63 +6,81 @@
 from magnoliapitch.spec.claim import claim_protocol
 from magnoliapitch.spec.claim_state import Bounds
 from magnoliapitch.spec.claim_state import Guards
-from magnoliapitch.spec.claim_state import Start
+from magnoliapitch.spec.claim_state import InitialState
 
 
-ALL = Guards()
-STATES_MAX = 60_000
-CAPACITY = Bounds(horizons=(4,))
-SHORT = Bounds(horizons=(2,))
-LONG = Bounds(horizons=(5,))
-RESTART = Bounds(horizons=(2,), restarts=1)
-SAME_TASK = Bounds(horizons=(2, 2), ttl=1, messages=1, same_task=True)
-LATE = Bounds(horizons=(4, 3), same_task=True, start=Start.LATE)
-BUSY = LATE._replace(start=Start.BUSY)
+ALL_GUARDS = Guards()
+MAX_STATES = 60_000
+ONE_WORKER = Bounds(max_clock_ticks=(4,))
+SHORT_CLOCK = Bounds(max_clock_ticks=(2,))
+LONG_CLOCK = Bounds(max_clock_ticks=(5,))
+ONE_RESTART = Bounds(max_clock_ticks=(2,), max_restarts=1)
+SAME_TASK = Bounds(
+    max_clock_ticks=(2, 2), ttl_ticks=1, max_messages=1, is_same_task=True
+)
+LATE = Bounds(
+    max_clock_ticks=(4, 3), is_same_task=True, initial_state=InitialState.LATE
+)
+BUSY = LATE._replace(initial_state=InitialState.BUSY)
 
 
-def holds(guards: Guards, bounds: Bounds, states: int) -> bool | None:
+def all_properties_hold(
+    guards: Guards, bounds: Bounds, max_states: int
+) -> bool | None:
     protocol = claim_protocol(guards, bounds)
-    properties = minicheck.check_safety(protocol, states)["properties"]
-    found = [item["holds"] for item in properties.values()]
-    if False in found:
+    properties = minicheck.check_safety(protocol, max_states)["properties"]
+    results = [item["holds"] for item in properties.values()]
+    if False in results:
         return False
-    return None if None in found else True
+    return None if None in results else True
 
 
 @pytest.mark.parametrize(
     ("guards", "bounds"),
     [
-        (ALL, CAPACITY),
-        (ALL, RESTART),
-        (ALL, SAME_TASK),
-        (ALL, LATE),
-        (ALL, BUSY),
+        (ALL_GUARDS, ONE_WORKER),
+        (ALL_GUARDS, ONE_RESTART),
+        (ALL_GUARDS, SAME_TASK),
+        (ALL_GUARDS, LATE),
+        (ALL_GUARDS, BUSY),
     ],
     ids=("capacity", "restart", "same-task", "late", "busy"),
 )
-def test_claim_holds_in_every_state(guards: Guards, bounds: Bounds) -> None:
-    assert holds(guards, bounds, STATES_MAX) is True
+def test_properties_hold_in_every_state(
+    guards: Guards, bounds: Bounds
+) -> None:
+    assert all_properties_hold(guards, bounds, MAX_STATES) is True
 
 
 @pytest.mark.parametrize(
-    ("guards", "bounds", "states"),
+    ("guards", "bounds", "max_states"),
     [
-        (ALL._replace(yields=False), LONG, STATES_MAX),
-        (ALL._replace(waits=False), LONG, 10_000),
-        (ALL._replace(absolute_expiry=False), SHORT, STATES_MAX),
         (
-            ALL._replace(within_claim=False, confirms=False),
-            CAPACITY,
-            STATES_MAX,
+            ALL_GUARDS._replace(stops_on_higher_epoch=False),
+            LONG_CLOCK,
+            MAX_STATES,
         ),
-        (ALL._replace(names_boot=False), RESTART, 70_000),
+        (ALL_GUARDS._replace(waits_after_claim=False), LONG_CLOCK, 10_000),
+        (ALL_GUARDS._replace(absolute_expiry=False), SHORT_CLOCK, MAX_STATES),
         (
-            ALL._replace(confirms=False),
-            LATE._replace(horizons=(3, 3), messages=1),
+            ALL_GUARDS._replace(
+                grants_end_with_claim=False, claims_after_log_read=False
+            ),
+            ONE_WORKER,
+            MAX_STATES,
+        ),
+        (ALL_GUARDS._replace(checks_boot=False), ONE_RESTART, 70_000),
+        (
+            ALL_GUARDS._replace(claims_after_log_read=False),
+            LATE._replace(max_clock_ticks=(3, 3), max_messages=1),
             5_000,
         ),
-        (ALL._replace(waits_for_end=False), SAME_TASK, 20_000),
-        (ALL._replace(settles_all=False), BUSY, 5_000),
+        (
+            ALL_GUARDS._replace(waits_for_previous_attempt=False),
+            SAME_TASK,
+            20_000,
+        ),
+        (ALL_GUARDS._replace(settles_on_all_workers=False), BUSY, 5_000),
     ],
     ids=(
         "no-epoch-check",
@@ -75,7 +93,7 @@
         "not-all-workers",
     ),
 )
-def test_claim_finds_the_missing_guard(
-    guards: Guards, bounds: Bounds, states: int
+def test_missing_guard_violates_a_property(
+    guards: Guards, bounds: Bounds, max_states: int
 ) -> None:
-    assert holds(guards, bounds, states) is False
+    assert all_properties_hold(guards, bounds, max_states) is False
