--- a/src/magnoliapitch/spec/fold.py
+++ b/src/magnoliapitch/spec/fold.py
@@ -1,9 +1,16 @@
-"""Fold, snapshots, truncation, cuts and restarts, for model checking.
+"""Model of instances that build their state from the log.
 
-A writer appends numbered batches whose answers may be lost, operators race
-it, records leave the log, and two instances follow the log or each other,
-may be cut from the log together and may restart with nothing.
-docs/design/log-fold.md names the function behind each step.
+The fold is the function that applies the records of the log in order; its
+result is an instance's state. The model covers the fold, snapshots, removal
+of old records, outages of the log and restarts:
+
+- A writer appends numbered batches. The answer to an append may be lost.
+- Operators append changes at the same time.
+- The oldest records of the log are removed.
+- Two instances follow the log, or each other while neither can reach the
+  log. Each may restart with an empty state.
+
+docs/design/log-fold.md names the function that implements each step.
 """
 
 from __future__ import annotations
@@ -24,138 +31,169 @@
 
 
 class Guards(NamedTuple):
-    """Checks of the protocol; a mutant leaves one out.
-
-    :param dedups: the fold skips a sequence number it has seen.
-    :param one_outstanding: a batch is formed after the previous one was
-        confirmed.
-    :param checks_version: a change names the version that it replaces.
-    :param checks_cover: a snapshot is used only if every later record is
-        still in the log.
-    :param asks_peers: a cold instance without the log serves only from
-        the highest offset that its peer has heard of.
-    :param keeps_later: a snapshot older than the own state is not loaded.
+    """Checks of the protocol.
+
+    Tests switch off one each and expect the model checker to find a
+    violation.
+
+    :param skips_duplicates: the fold ignores a batch whose sequence number is
+        not higher than the last.
+    :param sends_one_batch_at_a_time: the writer forms a batch only after the
+        previous one was confirmed.
+    :param checks_version: the fold accepts a change only if it names the
+        version in force as the one that it replaces.
+    :param checks_snapshot_coverage: a snapshot is loaded only if every record
+        after it is still in the log.
+    :param waits_for_peer_offset: an instance that restarted while the log is
+        unreachable serves only once it has reached the highest offset that
+        its peer knows of.
+    :param keeps_newer_state: an instance replaces its state only by a newer
+        one, from a snapshot or from its peer.
     """
 
-    dedups: bool = True
-    one_outstanding: bool = True
+    skips_duplicates: bool = True
+    sends_one_batch_at_a_time: bool = True
     checks_version: bool = True
-    checks_cover: bool = True
-    asks_peers: bool = True
-    keeps_later: bool = True
+    checks_snapshot_coverage: bool = True
+    waits_for_peer_offset: bool = True
+    keeps_newer_state: bool = True
 
 
 class Bounds(NamedTuple):
-    """Size of the explored state space."""
+    """Limits of the explored state space.
+
+    :param max_records: records in the log.
+    :param max_batches: batches that the writer forms.
+    :param max_restarts: restarts of both instances together.
+    :param max_snapshots: snapshots in the log.
+    :param max_log_outages: times at which the log becomes unreachable.
+    """
 
-    records: int = 4
-    batches: int = 2
-    restarts: int = 1
-    snapshots: int = 1
-    cuts: int = 1
+    max_records: int = 4
+    max_batches: int = 2
+    max_restarts: int = 1
+    max_snapshots: int = 1
+    max_log_outages: int = 1
 
 
 class Record(NamedTuple):
     """A record of the log.
 
-    :param expected: version that a change replaces.
+    :param writer: ``WRITER`` or ``OPERATOR``.
+    :param seq: sequence number of the writer's batch; 0 for other records.
+    :param expected_version: version that the change is meant to replace.
     :param snapshot: state that the record carries instead of a change.
     """
 
     writer: str
     seq: int
-    expected: int
-    snapshot: Folded | None = None
+    expected_version: int
+    snapshot: FoldedState | None = None
 
 
-class Folded(NamedTuple):
+class FoldedState(NamedTuple):
     """Result of the fold of a prefix of the log.
 
-    :param replaced: versions that accepted changes replaced, in order.
-    :param counted: sequence numbers that were counted, in order.
+    :param offset: number of records in the prefix.
+    :param seq: sequence number of the writer's last batch.
+    :param replaced_versions: versions that accepted changes replaced, in
+        order.
+    :param counted_seqs: sequence numbers of the batches that were applied,
+        in order.
     """
 
     offset: int = 0
     seq: int = 0
-    replaced: tuple[int, ...] = ()
-    counted: tuple[int, ...] = ()
+    replaced_versions: tuple[int, ...] = ()
+    counted_seqs: tuple[int, ...] = ()
 
     @property
     def version(self) -> int:
-        """Version in force."""
-        return len(self.replaced)
+        """Version in force, which is the number of accepted changes."""
+        return len(self.replaced_versions)
 
 
 class Instance(NamedTuple):
     """What an instance keeps in memory.
 
-    :param complete: whether it serves from its state.
-    :param seen: highest offset that it has heard of.
+    :param state: state that it has built from the log or taken from its
+        peer.
+    :param is_serving: whether it answers reads from its state.
+    :param highest_known_offset: highest offset that it has reached or that
+        its peer has reported.
     """
 
-    state: Folded = Folded()
-    complete: bool = False
-    seen: int = 0
+    state: FoldedState = FoldedState()
+    is_serving: bool = False
+    highest_known_offset: int = 0
 
 
 class World(NamedTuple):
-    """One state of the model.
-
-    :param log: every record ever appended.
-    :param oldest: first one still in the log.
-    :param flights: batches that were sent and not confirmed.
-    :param formed: batches formed so far.
-    :param is_cut: whether both instances are cut from the log.
-    :param told: highest offset of each instance that the other heard.
+    """State of the whole model.
+
+    :param log: every record ever appended, including the removed ones.
+    :param oldest_offset: offset of the oldest record that is still in the
+        log.
+    :param in_flight: batches that were sent and not confirmed.
+    :param formed_count: number of batches formed so far.
+    :param is_log_unreachable: whether neither instance can reach the log.
+    :param told: highest offset that each instance has reported to the other
+        while serving.
+    :param restart_count: number of restarts so far.
+    :param log_outage_count: number of times the log became unreachable.
     """
 
     log: tuple[Record, ...] = ()
-    oldest: int = 0
-    flights: tuple[Record, ...] = ()
-    formed: int = 0
-    is_cut: bool = False
+    oldest_offset: int = 0
+    in_flight: tuple[Record, ...] = ()
+    formed_count: int = 0
+    is_log_unreachable: bool = False
     instances: tuple[Instance, ...] = (Instance(), Instance())
     told: tuple[int, ...] = (0, 0)
-    restarts: int = 0
-    cuts: int = 0
+    restart_count: int = 0
+    log_outage_count: int = 0
 
 
 def fold_protocol(guards: Guards, bounds: Bounds) -> Any:
-    """Return the protocol for ``minicheck.check_safety``."""
+    """Return the model in the form that ``minicheck.check_safety`` takes.
+
+    :param guards: checks of the protocol that are switched on.
+    :param bounds: limits of the explored state space.
+    """
     from minicheck import Protocol
 
-    steps = _Steps(guards, bounds)
+    transitions = _Transitions(guards, bounds)
     return Protocol(
         name="fold",
         candidate=False,
         fields=World._fields,
         initial=World(),
-        transitions=steps.of,
+        transitions=transitions.from_state,
         invariants={
-            "equal offsets, equal states": lambda world: _is_equal(
+            "equal offsets, equal states": lambda world: _states_match_log(
                 guards, world
             ),
-            "each batch counts once": lambda world: _counts_once(
+            "each batch counts once": lambda world: _counts_each_batch_once(
                 guards, world
             ),
-            "one change replaces a version": lambda world: _has_one_winner(
-                guards, world
+            "one change replaces a version": lambda world: (
+                _replaces_each_version_once(guards, world)
             ),
-            "what is served never goes back": _never_reverts,
+            "what is served never goes back": _served_state_never_reverts,
         },
     )
 
 
-class _Steps:
+class _Transitions:
     def __init__(self, guards: Guards, bounds: Bounds) -> None:
         self._guards = guards
         self._bounds = bounds
 
-    def of(self, world: World) -> list[tuple[str, World]]:
+    def from_state(self, world: World) -> list[tuple[str, World]]:
         world = World(*world)
         return [
-            *self._appends(world),
-            *self._environment(world),
+            *self._append_steps(world),
+            *self._environment_steps(world),
             *(
                 step
                 for index in INSTANCES
@@ -163,177 +201,225 @@
             ),
         ]
 
-    def _appends(self, world: World) -> Iterator[tuple[str, World]]:
-        if world.is_cut or len(world.log) >= self._bounds.records:
+    def _append_steps(self, world: World) -> Iterator[tuple[str, World]]:
+        if (
+            world.is_log_unreachable
+            or len(world.log) >= self._bounds.max_records
+        ):
             return
-        may_form = not (world.flights and self._guards.one_outstanding)
-        if may_form and world.formed < self._bounds.batches:
+        may_form_batch = not (
+            world.in_flight and self._guards.sends_one_batch_at_a_time
+        )
+        if may_form_batch and world.formed_count < self._bounds.max_batches:
             version = world.instances[0].state.version
-            batch = Record(WRITER, world.formed + 1, version)
+            batch = Record(WRITER, world.formed_count + 1, version)
             formed = world._replace(
-                formed=world.formed + 1, flights=(*world.flights, batch)
+                formed_count=world.formed_count + 1,
+                in_flight=(*world.in_flight, batch),
             )
             yield "form batch", formed
-        for batch in world.flights:
-            kept = tuple(item for item in world.flights if item != batch)
+        for batch in world.in_flight:
+            unconfirmed = tuple(
+                item for item in world.in_flight if item != batch
+            )
             log = (*world.log, batch)
-            yield "append", world._replace(log=log, flights=kept)
+            yield "append", world._replace(log=log, in_flight=unconfirmed)
             yield "append, answer lost", world._replace(log=log)
         version = world.instances[1].state.version
         change = Record(OPERATOR, 0, version)
         yield "operator appends", world._replace(log=(*world.log, change))
 
-    def _environment(self, world: World) -> Iterator[tuple[str, World]]:
-        if world.oldest < len(world.log):
-            yield "expire", world._replace(oldest=world.oldest + 1)
-        if world.is_cut:
-            yield "heal", world._replace(is_cut=False)
-        elif world.cuts < self._bounds.cuts:
-            yield "cut", world._replace(is_cut=True, cuts=world.cuts + 1)
+    def _environment_steps(self, world: World) -> Iterator[tuple[str, World]]:
+        if world.oldest_offset < len(world.log):
+            yield (
+                "expire",
+                world._replace(oldest_offset=world.oldest_offset + 1),
+            )
+        if world.is_log_unreachable:
+            yield "heal", world._replace(is_log_unreachable=False)
+        elif world.log_outage_count < self._bounds.max_log_outages:
+            yield (
+                "cut",
+                world._replace(
+                    is_log_unreachable=True,
+                    log_outage_count=world.log_outage_count + 1,
+                ),
+            )
 
     def _instance_steps(
         self, world: World, index: int
     ) -> Iterator[tuple[str, World]]:
         instance = world.instances[index]
-        if world.is_cut:
-            yield from self._follow_peer(world, index)
+        if world.is_log_unreachable:
+            yield from self._follow_peer_steps(world, index)
         else:
-            yield from self._follow_log(world, index)
-            yield from self._publish(world, index)
-        if self._bounds.cuts:
-            yield "beat", _exchange_beats(world, index)
-        if world.restarts < self._bounds.restarts:
-            restarted = _put(world, index, Instance())
-            yield "restart", restarted._replace(restarts=world.restarts + 1)
-        if not self._guards.asks_peers and not instance.complete:
-            served = instance._replace(complete=True)
-            yield "serve cold", _put(world, index, served)
-
-    def _follow_log(
+            yield from self._follow_log_steps(world, index)
+            yield from self._snapshot_steps(world, index)
+        if self._bounds.max_log_outages:
+            yield "beat", _deliver_heartbeat(world, index)
+        if world.restart_count < self._bounds.max_restarts:
+            restarted = _with_instance(world, index, Instance())
+            yield (
+                "restart",
+                restarted._replace(restart_count=world.restart_count + 1),
+            )
+        if not self._guards.waits_for_peer_offset and not instance.is_serving:
+            serving = instance._replace(is_serving=True)
+            yield "serve cold", _with_instance(world, index, serving)
+
+    def _follow_log_steps(
         self, world: World, index: int
     ) -> Iterator[tuple[str, World]]:
         instance = world.instances[index]
         state = instance.state
-        if state.offset < world.oldest:
-            for loaded in self._usable(world, state):
-                bridged = instance._replace(state=loaded)
-                yield "load snapshot", _put(world, index, bridged)
+        if state.offset < world.oldest_offset:
+            for loaded in self._loadable_states(world, state):
+                restored = instance._replace(state=loaded)
+                yield "load snapshot", _with_instance(world, index, restored)
             return
         if state.offset < len(world.log):
-            applied = apply(self._guards, state, world.log[state.offset])
-            moved = instance._replace(state=applied)
-            yield "follow", _put(world, index, moved)
-        elif not instance.complete:
-            served = instance._replace(complete=True)
-            yield "serve", _put(world, index, served)
-
-    def _usable(self, world: World, state: Folded) -> Iterator[Folded]:
-        for record in world.log[world.oldest :]:
+            applied = apply_record(
+                self._guards, state, world.log[state.offset]
+            )
+            updated = instance._replace(state=applied)
+            yield "follow", _with_instance(world, index, updated)
+        elif not instance.is_serving:
+            serving = instance._replace(is_serving=True)
+            yield "serve", _with_instance(world, index, serving)
+
+    def _loadable_states(
+        self, world: World, state: FoldedState
+    ) -> Iterator[FoldedState]:
+        for record in world.log[world.oldest_offset :]:
             if record.snapshot is None:
                 continue
             loaded = record.snapshot
-            if loaded.offset < world.oldest:
-                if self._guards.checks_cover:
+            if loaded.offset < world.oldest_offset:
+                if self._guards.checks_snapshot_coverage:
                     continue
-                loaded = loaded._replace(offset=world.oldest)
-            if loaded.offset > state.offset or not self._guards.keeps_later:
+                loaded = loaded._replace(offset=world.oldest_offset)
+            if (
+                loaded.offset > state.offset
+                or not self._guards.keeps_newer_state
+            ):
                 yield loaded
 
-    def _publish(
+    def _snapshot_steps(
         self, world: World, index: int
     ) -> Iterator[tuple[str, World]]:
         instance = world.instances[index]
-        published = sum(item.snapshot is not None for item in world.log)
+        snapshot_count = sum(item.snapshot is not None for item in world.log)
         if (
-            instance.complete
-            and published < self._bounds.snapshots
-            and len(world.log) < self._bounds.records
+            instance.is_serving
+            and snapshot_count < self._bounds.max_snapshots
+            and len(world.log) < self._bounds.max_records
         ):
             record = Record(WRITER, 0, 0, instance.state)
             yield "snapshot", world._replace(log=(*world.log, record))
 
-    def _follow_peer(
+    def _follow_peer_steps(
         self, world: World, index: int
     ) -> Iterator[tuple[str, World]]:
         instance = world.instances[index]
         peer = world.instances[1 - index]
         is_ahead = peer.state.offset > instance.state.offset
-        if peer.complete and (is_ahead or not self._guards.keeps_later):
-            moved = instance._replace(state=peer.state)
-            if moved != instance:
-                yield "take peer's state", _put(world, index, moved)
-        floor = max(peer.seen, peer.state.offset)
-        reaches = instance.state.offset >= floor
-        if peer.complete and reaches and not instance.complete:
-            served = instance._replace(complete=True)
-            yield "serve from peer", _put(world, index, served)
-
-
-def apply(guards: Guards, state: Folded, record: Record) -> Folded:
-    """Return the fold with one more record."""
+        if peer.is_serving and (
+            is_ahead or not self._guards.keeps_newer_state
+        ):
+            updated = instance._replace(state=peer.state)
+            if updated != instance:
+                yield (
+                    "take peer's state",
+                    _with_instance(world, index, updated),
+                )
+        required_offset = max(peer.highest_known_offset, peer.state.offset)
+        is_caught_up = instance.state.offset >= required_offset
+        if peer.is_serving and is_caught_up and not instance.is_serving:
+            serving = instance._replace(is_serving=True)
+            yield "serve from peer", _with_instance(world, index, serving)
+
+
+def apply_record(
+    guards: Guards, state: FoldedState, record: Record
+) -> FoldedState:
+    """Return the state of the fold after one more record."""
     state = state._replace(offset=state.offset + 1)
     if record.snapshot is not None:
         return state
     if record.writer == WRITER:
-        if guards.dedups and record.seq <= state.seq:
+        if guards.skips_duplicates and record.seq <= state.seq:
             return state
         state = state._replace(
-            seq=record.seq, counted=(*state.counted, record.seq)
+            seq=record.seq, counted_seqs=(*state.counted_seqs, record.seq)
         )
-    if guards.checks_version and record.expected != state.version:
+    if guards.checks_version and record.expected_version != state.version:
         return state
-    return state._replace(replaced=(*state.replaced, record.expected))
+    return state._replace(
+        replaced_versions=(*state.replaced_versions, record.expected_version)
+    )
 
 
 @lru_cache(maxsize=100_000)
-def _fold(guards: Guards, log: tuple[Record, ...]) -> Folded:
+def _fold_log(guards: Guards, log: tuple[Record, ...]) -> FoldedState:
     if not log:
-        return Folded()
-    return apply(guards, _fold(guards, log[:-1]), log[-1])
+        return FoldedState()
+    return apply_record(guards, _fold_log(guards, log[:-1]), log[-1])
 
 
-def _put(world: World, index: int, instance: Instance) -> World:
-    seen = max(instance.seen, instance.state.offset)
+def _with_instance(world: World, index: int, instance: Instance) -> World:
+    highest_known_offset = max(
+        instance.highest_known_offset, instance.state.offset
+    )
     instances = list(world.instances)
-    instances[index] = instance._replace(seen=seen)
+    instances[index] = instance._replace(
+        highest_known_offset=highest_known_offset
+    )
     return world._replace(instances=tuple(instances))
 
 
-def _exchange_beats(world: World, index: int) -> World:
+def _deliver_heartbeat(world: World, index: int) -> World:
     sender = world.instances[index]
     receiver = world.instances[1 - index]
-    seen = max(receiver.seen, sender.seen, sender.state.offset)
+    highest_known_offset = max(
+        receiver.highest_known_offset,
+        sender.highest_known_offset,
+        sender.state.offset,
+    )
     told = list(world.told)
-    if sender.complete:
+    if sender.is_serving:
         told[index] = max(told[index], sender.state.offset)
-    heard = _put(world, 1 - index, receiver._replace(seen=seen))
+    heard = _with_instance(
+        world,
+        1 - index,
+        receiver._replace(highest_known_offset=highest_known_offset),
+    )
     return heard._replace(told=tuple(told))
 
 
-def _is_equal(guards: Guards, world: dict[str, Any]) -> bool:
+def _states_match_log(guards: Guards, world: dict[str, Any]) -> bool:
     return all(
-        item.state == _fold(guards, world["log"][: item.state.offset])
+        item.state == _fold_log(guards, world["log"][: item.state.offset])
         for item in world["instances"]
     )
 
 
-def _counts_once(guards: Guards, world: dict[str, Any]) -> bool:
-    counted = _fold(guards, world["log"]).counted
+def _counts_each_batch_once(guards: Guards, world: dict[str, Any]) -> bool:
+    counted_seqs = _fold_log(guards, world["log"]).counted_seqs
     appended = {
         item.seq
         for item in world["log"]
         if item.writer == WRITER and item.snapshot is None
     }
-    return sorted(counted) == sorted(appended)
+    return sorted(counted_seqs) == sorted(appended)
 
 
-def _has_one_winner(guards: Guards, world: dict[str, Any]) -> bool:
-    replaced = _fold(guards, world["log"]).replaced
-    return len(set(replaced)) == len(replaced)
+def _replaces_each_version_once(guards: Guards, world: dict[str, Any]) -> bool:
+    replaced_versions = _fold_log(guards, world["log"]).replaced_versions
+    return len(set(replaced_versions)) == len(replaced_versions)
 
 
-def _never_reverts(world: dict[str, Any]) -> bool:
+def _served_state_never_reverts(world: dict[str, Any]) -> bool:
     return all(
-        not item.complete or item.state.offset >= told
+        not item.is_serving or item.state.offset >= told
         for item, told in zip(world["instances"], world["told"], strict=True)
     )
--- a/tests/spec/test_fold.py
+++ b/tests/spec/test_fold.py
@@ -9,26 +9,50 @@
 from magnoliapitch.spec.fold import fold_protocol
 
 
-EQUAL = "equal offsets, equal states"
-ONCE = "each batch counts once"
-WINNER = "one change replaces a version"
-SERVED = "what is served never goes back"
-APPENDS = Bounds(records=3, batches=2, restarts=0, snapshots=0, cuts=0)
-HISTORY = Bounds(records=4, batches=0, restarts=1, snapshots=1, cuts=0)
-CUTS = Bounds(records=2, batches=0, restarts=1, snapshots=0, cuts=1)
-MUTANT_STATES_MAX = 20_000
+EQUAL_STATES = "equal offsets, equal states"
+COUNTED_ONCE = "each batch counts once"
+REPLACED_ONCE = "one change replaces a version"
+NEVER_REVERTS = "what is served never goes back"
+APPENDS_ONLY = Bounds(
+    max_records=3,
+    max_batches=2,
+    max_restarts=0,
+    max_snapshots=0,
+    max_log_outages=0,
+)
+SNAPSHOTS_ONLY = Bounds(
+    max_records=4,
+    max_batches=0,
+    max_restarts=1,
+    max_snapshots=1,
+    max_log_outages=0,
+)
+OUTAGES_ONLY = Bounds(
+    max_records=2,
+    max_batches=0,
+    max_restarts=1,
+    max_snapshots=0,
+    max_log_outages=1,
+)
+MAX_STATES_WITHOUT_GUARD = 20_000
 
 
 @pytest.mark.parametrize(
     "bounds",
     [
-        APPENDS,
-        HISTORY,
-        CUTS,
-        Bounds(records=2, batches=1, restarts=1, snapshots=1, cuts=1),
+        APPENDS_ONLY,
+        SNAPSHOTS_ONLY,
+        OUTAGES_ONLY,
+        Bounds(
+            max_records=2,
+            max_batches=1,
+            max_restarts=1,
+            max_snapshots=1,
+            max_log_outages=1,
+        ),
     ],
 )
-def test_fold_keeps_its_promises_in_every_state(bounds: Bounds) -> None:
+def test_invariants_hold_in_every_state(bounds: Bounds) -> None:
     outcome = check_safety(fold_protocol(Guards(), bounds))
     assert outcome["exhaustive"]
     assert outcome["reachable_states"] > 1_000
@@ -36,30 +60,30 @@
 
 
 @pytest.mark.parametrize(
-    ("guard", "bounds", "broken"),
+    ("guard", "bounds", "violated"),
     [
-        ("dedups", APPENDS, ONCE),
-        ("one_outstanding", APPENDS, ONCE),
-        ("checks_version", APPENDS, WINNER),
-        ("checks_cover", HISTORY, EQUAL),
-        ("asks_peers", CUTS, SERVED),
-        ("keeps_later", CUTS, SERVED),
+        ("skips_duplicates", APPENDS_ONLY, COUNTED_ONCE),
+        ("sends_one_batch_at_a_time", APPENDS_ONLY, COUNTED_ONCE),
+        ("checks_version", APPENDS_ONLY, REPLACED_ONCE),
+        ("checks_snapshot_coverage", SNAPSHOTS_ONLY, EQUAL_STATES),
+        ("waits_for_peer_offset", OUTAGES_ONLY, NEVER_REVERTS),
+        ("keeps_newer_state", OUTAGES_ONLY, NEVER_REVERTS),
     ],
 )
-def test_fold_without_a_guard_is_refuted(
-    guard: str, bounds: Bounds, broken: str
+def test_missing_guard_violates_one_invariant(
+    guard: str, bounds: Bounds, violated: str
 ) -> None:
     protocol = fold_protocol(Guards(**{guard: False}), bounds)
-    outcome = check_safety(protocol, max_states=MUTANT_STATES_MAX)
+    outcome = check_safety(protocol, max_states=MAX_STATES_WITHOUT_GUARD)
     failed = {
         name
         for name, item in outcome["properties"].items()
         if item["holds"] is False
     }
-    assert failed == {broken}
+    assert failed == {violated}
 
 
-def test_every_guard_has_a_mutant() -> None:
-    marks = test_fold_without_a_guard_is_refuted.pytestmark  # type: ignore[attr-defined]
+def test_every_guard_is_switched_off_once() -> None:
+    marks = test_missing_guard_violates_one_invariant.pytestmark  # type: ignore[attr-defined]
     guards = {guard for guard, *_ in marks[0].args[1]}
     assert guards == set(Guards._fields)
