--- a/src/magnoliapitch/spec/__init__.py
+++ b/src/magnoliapitch/spec/__init__.py
@@ -1,3 +1,3 @@
-"""Small specifications of the protocols, for exhaustive model checking."""
+"""Small models of the protocols, for exhaustive model checking."""
 
 from __future__ import annotations
--- a/src/magnoliapitch/spec/ticket.py
+++ b/src/magnoliapitch/spec/ticket.py
@@ -1,9 +1,11 @@
-"""Specification of requests that run at most once.
-
-Two instances serve attempts for one name. A ticket names instance 0 from
-the beginning; a key is given to the instance whose intent is first in the
-log. Appends may take effect late, answers get lost and instances die.
-Mutants leave out one guard each.
+"""Model of requests that run at most once, for model checking.
+
+A caller makes several attempts at one request through two instances. All
+attempts carry the same name, which is a ticket or an idempotency key. Only
+the holder of the name may run the request. The holder of a ticket is instance
+0 from the beginning; the holder of a key is the instance whose intent is
+first in the log. Appends may take effect late, answers may get lost and
+instances may die. Mutants leave out one guard each.
 """
 
 from __future__ import annotations
@@ -18,12 +20,20 @@
     from collections.abc import Iterator
 
 
-INSTANCES = (0, 1)
-ATTEMPTS = 3
+INSTANCE_INDEXES = (0, 1)
+MAX_ATTEMPTS = 3
 
 
 class Mutant(StrEnum):
-    """A guard that is left out."""
+    """A variant of the protocol that leaves out one guard.
+
+    NO_HOLDER_CHECK: an instance runs the request without being the holder.
+    USED_FORGOTTEN: an instance forgets that it has dispatched the request.
+    DISPATCH_BEFORE_FOLD: an instance dispatches before it has read an intent
+    from the log. DISPATCH_ON_FOLD: an instance dispatches when it reads its
+    intent, though it has already answered ``not_run``.
+    RUN_WHEN_HOLDER_GONE: an instance runs the request if the holder is dead.
+    """
 
     NO_HOLDER_CHECK = "no-holder-check"
     USED_FORGOTTEN = "used-forgotten"
@@ -33,7 +43,11 @@
 
 
 class Phase(StrEnum):
-    """What an instance does for its current attempt."""
+    """Progress of an instance's current attempt.
+
+    IDLE: no attempt. WAITING: the instance's intent is not yet read from the
+    log. READY: the request may be dispatched. RUNNING: it was dispatched.
+    """
 
     IDLE = "idle"
     WAITING = "waiting"
@@ -42,52 +56,58 @@
 
 
 class Instance(NamedTuple):
-    """State of one incarnation.
+    """State of one instance.
+
+    An instance that died does not come back.
 
-    :param folded: intents of the log that it has read.
-    :param is_appending: whether an append may still take effect.
-    :param is_used: whether it has dispatched the name.
-    :param gave_up: whether it told an attempt ``not_run``.
+    :param folded_count: number of intents that it has read from the log.
+    :param has_pending_append: whether its append may still take effect.
+    :param has_dispatched: whether it has dispatched the request.
+    :param answered_not_run: whether it answered an attempt with ``not_run``.
     """
 
     is_alive: bool = True
     phase: Phase = Phase.IDLE
-    folded: int = 0
-    is_appending: bool = False
-    is_used: bool = False
-    gave_up: bool = False
+    folded_count: int = 0
+    has_pending_append: bool = False
+    has_dispatched: bool = False
+    answered_not_run: bool = False
 
 
 class State(NamedTuple):
-    """State of the system.
+    """State of the whole model.
 
-    :param log: instances in the order of their intents.
-    :param is_wrong: whether an attempt ran that was told ``not_run``.
+    :param log: indexes of the instances, in the order of their intents.
+    :param attempts: attempts that the caller may still make.
+    :param runs: number of times the request was dispatched.
+    :param is_wrong: whether an attempt ran that was answered ``not_run``.
     """
 
     instances: tuple[Instance, ...]
     log: tuple[int, ...] = ()
-    attempts: int = ATTEMPTS
+    attempts: int = MAX_ATTEMPTS
     runs: int = 0
     is_wrong: bool = False
 
-    def change(self, number: int, **fields: Any) -> State:
+    def with_instance(self, index: int, **fields: Any) -> State:
         """Return the state with fields of one instance replaced."""
         changed = list(self.instances)
-        changed[number] = changed[number]._replace(**fields)
+        changed[index] = changed[index]._replace(**fields)
         return self._replace(instances=tuple(changed))
 
 
 def ticket_protocol(
     *, is_key: bool = False, mutant: Mutant | None = None
 ) -> Any:
-    """Return the protocol for a ticket or a key.
+    """Return the model in the form that ``minicheck`` takes.
 
-    :raises ImportError: if the optional extra ``check`` is missing.
+    :param is_key: whether attempts carry an idempotency key, not a ticket.
+    :param mutant: guard to leave out, None for the whole protocol.
+    :raises ImportError: if the optional extra ``check`` is not installed.
     """
     from minicheck import Protocol
 
-    instance = Instance(folded=0 if is_key else 1)
+    instance = Instance(folded_count=0 if is_key else 1)
     initial = State((instance, instance), () if is_key else (0,))
     return Protocol(
         name="key" if is_key else "ticket",
@@ -103,76 +123,88 @@
 
 
 def _steps(state: State, mutant: Mutant | None) -> Iterator[tuple[str, State]]:
-    for number in INSTANCES:
-        if state.instances[number].is_appending:
-            taken = state.change(number, is_appending=False)
-            yield f"append {number}", taken._replace(log=(*state.log, number))
-        if state.instances[number].is_alive:
-            yield from _alive_steps(state, number, mutant)
+    for index in INSTANCE_INDEXES:
+        if state.instances[index].has_pending_append:
+            appended = state.with_instance(index, has_pending_append=False)
+            yield f"append {index}", appended._replace(log=(*state.log, index))
+        if state.instances[index].is_alive:
+            yield from _live_instance_steps(state, index, mutant)
 
 
-def _alive_steps(
-    state: State, number: int, mutant: Mutant | None
+def _live_instance_steps(
+    state: State, index: int, mutant: Mutant | None
 ) -> Iterator[tuple[str, State]]:
-    instance = state.instances[number]
-    yield f"die {number}", state.change(number, is_alive=False)
-    if instance.folded < len(state.log):
-        yield f"fold {number}", _fold(state, number, mutant)
+    instance = state.instances[index]
+    yield f"die {index}", state.with_instance(index, is_alive=False)
+    if instance.folded_count < len(state.log):
+        yield f"fold {index}", _fold_next_intent(state, index, mutant)
     if instance.phase is Phase.IDLE and state.attempts:
         started = state._replace(attempts=state.attempts - 1)
-        yield f"attempt {number}", _begin(started, number, mutant)
+        yield f"attempt {index}", _start_attempt(started, index, mutant)
     if instance.phase is Phase.WAITING:
-        idle = state.change(number, phase=Phase.IDLE)
-        yield f"give up {number}", idle.change(number, gave_up=True)
-        if instance.folded:
-            yield f"proceed {number}", _route(idle, number, mutant)
+        idle = state.with_instance(index, phase=Phase.IDLE)
+        yield (
+            f"give up {index}",
+            idle.with_instance(index, answered_not_run=True),
+        )
+        if instance.folded_count:
+            yield f"proceed {index}", _route_to_holder(idle, index, mutant)
         if mutant is Mutant.DISPATCH_BEFORE_FOLD:
-            yield f"hurry {number}", state.change(number, phase=Phase.READY)
+            yield (
+                f"hurry {index}",
+                state.with_instance(index, phase=Phase.READY),
+            )
     if instance.phase is Phase.READY:
-        yield f"dispatch {number}", _dispatch(state, number, mutant)
+        yield f"dispatch {index}", _dispatch(state, index, mutant)
     if instance.phase is Phase.RUNNING:
         yield (
-            f"answer or lose {number}",
-            state.change(number, phase=Phase.IDLE),
+            f"answer or lose {index}",
+            state.with_instance(index, phase=Phase.IDLE),
         )
 
 
-def _begin(state: State, number: int, mutant: Mutant | None) -> State:
-    if state.instances[number].folded:
-        return _route(state, number, mutant)
-    return state.change(number, phase=Phase.WAITING, is_appending=True)
+def _start_attempt(state: State, index: int, mutant: Mutant | None) -> State:
+    if state.instances[index].folded_count:
+        return _route_to_holder(state, index, mutant)
+    return state.with_instance(
+        index, phase=Phase.WAITING, has_pending_append=True
+    )
 
 
-def _route(state: State, number: int, mutant: Mutant | None) -> State:
+def _route_to_holder(state: State, index: int, mutant: Mutant | None) -> State:
     holder = state.log[0]
     if mutant is Mutant.NO_HOLDER_CHECK:
-        holder = number
+        holder = index
     if not state.instances[holder].is_alive:
         if mutant is Mutant.RUN_WHEN_HOLDER_GONE:
-            return state.change(number, phase=Phase.READY)
+            return state.with_instance(index, phase=Phase.READY)
         return state
     if state.instances[holder].phase is not Phase.IDLE:
         return state
-    return state.change(holder, phase=Phase.READY)
+    return state.with_instance(holder, phase=Phase.READY)
 
 
-def _fold(state: State, number: int, mutant: Mutant | None) -> State:
-    instance = state.instances[number]
-    folded = state.change(number, folded=instance.folded + 1)
-    is_late = instance.gave_up and instance.phase is Phase.IDLE
+def _fold_next_intent(
+    state: State, index: int, mutant: Mutant | None
+) -> State:
+    instance = state.instances[index]
+    folded = state.with_instance(index, folded_count=instance.folded_count + 1)
+    was_given_up = instance.answered_not_run and instance.phase is Phase.IDLE
     if (
         mutant is Mutant.DISPATCH_ON_FOLD
-        and is_late
-        and state.log[0] == number
-        and not instance.is_used
+        and was_given_up
+        and state.log[0] == index
+        and not instance.has_dispatched
     ):
-        return _dispatch(folded, number, mutant)._replace(is_wrong=True)
+        return _dispatch(folded, index, mutant)._replace(is_wrong=True)
     return folded
 
 
-def _dispatch(state: State, number: int, mutant: Mutant | None) -> State:
-    if state.instances[number].is_used:
-        return state.change(number, phase=Phase.IDLE)
-    is_used = mutant is not Mutant.USED_FORGOTTEN
-    running = state.change(number, phase=Phase.RUNNING, is_used=is_used)
+def _dispatch(state: State, index: int, mutant: Mutant | None) -> State:
+    if state.instances[index].has_dispatched:
+        return state.with_instance(index, phase=Phase.IDLE)
+    has_dispatched = mutant is not Mutant.USED_FORGOTTEN
+    running = state.with_instance(
+        index, phase=Phase.RUNNING, has_dispatched=has_dispatched
+    )
     return running._replace(runs=state.runs + 1)
