--- a/src/magnoliapitch/console/dev.py
+++ b/src/magnoliapitch/console/dev.py
@@ -4,9 +4,9 @@
 
 from pathlib import Path
 
-from magnoliapitch.console.ending import ending_on_signals
 from magnoliapitch.console.exceptions import CommandError
 from magnoliapitch.console.exit_code import ExitCode
+from magnoliapitch.console.signals import ending_on_signals
 from magnoliapitch.event import EventLevel
 from magnoliapitch.event import configure_logging
 from magnoliapitch.standin.deployment import Deployment
--- a/src/magnoliapitch/console/entry.py
+++ b/src/magnoliapitch/console/entry.py
@@ -12,12 +12,12 @@
 
 from cyclopts import Parameter
 
-from magnoliapitch.console.ending import ending_on_signals
-from magnoliapitch.console.ending import reload_on_hangup
 from magnoliapitch.console.exceptions import CommandError
 from magnoliapitch.console.exit_code import ExitCode
 from magnoliapitch.console.settings import read_cluster_settings
 from magnoliapitch.console.settings import read_settings
+from magnoliapitch.console.signals import ending_on_signals
+from magnoliapitch.console.signals import reload_on_hangup
 from magnoliapitch.event import configure_logging
 from magnoliapitch.event import log_event
 from magnoliapitch.event.writer import LineWriter
