--- a/deploy/main.py
+++ b/deploy/main.py
@@ -1,4 +1,4 @@
-"""Starts magnoliapitch from a checkout, without installing it."""
+"""Runs an instance from a checkout, without installing the package."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/console/__init__.py
+++ b/src/magnoliapitch/console/__init__.py
@@ -1,3 +1,3 @@
-"""Command line."""
+"""The command line of the scheduler."""
 
 from __future__ import annotations
--- a/src/magnoliapitch/console/application.py
+++ b/src/magnoliapitch/console/application.py
@@ -1,4 +1,4 @@
-"""The command-line application."""
+"""Assembles the command-line application from its commands."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 application = App(
     name="magnoliapitch",
-    help="Cluster scheduler for unlike workloads.",
+    help="Cluster scheduler for mixed workloads.",
     version=__version__,
 )
 for command in (entry, request, state, drain, dev, demo):
@@ -35,7 +35,7 @@
 def main(arguments: list[str] | None = None) -> None:
     """Run the command line and exit with the command's exit code.
 
-    :param arguments: words after the program's name, by default those of
-        the process.
+    :param arguments: command-line arguments without the program name, by
+        default those of the process.
     """
     run_application(application, arguments)
--- a/src/magnoliapitch/console/bench.py
+++ b/src/magnoliapitch/console/bench.py
@@ -1,4 +1,4 @@
-"""The ``bench`` commands; each measures one part on this machine."""
+"""The ``bench`` commands; each measures one part of the system locally."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 from magnoliapitch.console.bench_request import waiting
 
 
-bench = App(name="bench", help="Measure parts of the system.")
+bench = App(
+    name="bench", help="Measure the performance of parts of the system."
+)
 bench.command(capacity)
 bench.command(idle)
 bench.command(requests)
--- a/src/magnoliapitch/console/bench_capacity.py
+++ b/src/magnoliapitch/console/bench_capacity.py
@@ -17,15 +17,15 @@
 
 
 def capacity(*, output: Path | None = None, page: Path | None = None) -> None:
-    """Measure what one more worker, task, record or peer costs.
+    """Measure the cost of each additional worker, task, record or peer.
 
-    :param output: JSON file for the measurement; a measured idle cost in
-        it is kept.
-    :param page: Markdown page whose tables are made anew.
+    :param output: JSON file to write the measurement to; an idle cost
+        that it already holds is kept.
+    :param page: Markdown page whose tables are regenerated.
     """
     idle = None
     if output is not None and output.exists():
-        idle = _load(output).idle
+        idle = _read_measurement(output).idle
     machine = f"Python {platform.python_version()} on {platform.machine()}"
     measurement = Measurement(measure_slopes(), machine, idle)
     for slope in measurement.slopes:
@@ -36,7 +36,7 @@
     if output is not None:
         measurement.to_file(output)
     if page is not None:
-        _refresh(page, measurement)
+        _refresh_tables(page, measurement)
 
 
 def idle(
@@ -46,32 +46,34 @@
     output: Path | None = None,
     page: Path | None = None,
 ) -> None:
-    """Measure what a running entry instance uses while idle.
+    """Measure the resource use of a running entry instance while idle.
 
-    :param admin_url: base address of its operators' listener.
-    :param seconds: length of the observation.
-    :param output: JSON file of a measurement to add the result to.
-    :param page: Markdown page whose tables are made anew.
+    :param admin_url: base URL of the instance's operator interface.
+    :param seconds: duration of the measurement, in seconds.
+    :param output: JSON file of an earlier measurement; the result is
+        added to it.
+    :param page: Markdown page whose tables are regenerated; needs output.
     """
     try:
-        found = measure_idle(admin_url, seconds)
+        idle_cost = measure_idle(admin_url, seconds)
     except BenchError as error:
         print(error, file=sys.stderr)
         sys.exit(ExitCode.UNREACHABLE)
     print(
-        f"core {found.core_share:.2%}, memory {found.memory_mb:.0f} MB, "
-        f"traffic {found.bytes_per_second:.0f} bytes/s, "
-        f"workers {found.workers}, over {found.seconds:.0f} s"
+        f"processor {idle_cost.core_share:.2%}, "
+        f"memory {idle_cost.memory_mb:.0f} MB, "
+        f"traffic {idle_cost.bytes_per_second:.0f} bytes/s, "
+        f"workers {idle_cost.workers}, over {idle_cost.seconds:.0f} s"
     )
     if output is None:
         return
-    measurement = _load(output)._replace(idle=found)
+    measurement = _read_measurement(output)._replace(idle=idle_cost)
     measurement.to_file(output)
     if page is not None:
-        _refresh(page, measurement)
+        _refresh_tables(page, measurement)
 
 
-def _load(path: Path) -> Measurement:
+def _read_measurement(path: Path) -> Measurement:
     try:
         return Measurement.from_file(path)
     except MeasurementError as error:
@@ -79,5 +81,5 @@
         sys.exit(ExitCode.INVALID_FILE)
 
 
-def _refresh(page: Path, measurement: Measurement) -> None:
+def _refresh_tables(page: Path, measurement: Measurement) -> None:
     page.write_text(refresh_page(page.read_text("utf-8"), measurement))
--- a/src/magnoliapitch/console/bench_decisions.py
+++ b/src/magnoliapitch/console/bench_decisions.py
@@ -24,13 +24,15 @@
     json: Path | None = None,
     png: Path | None = None,
 ) -> None:
-    """Measure the scheduling policies on seeded traces.
+    """Compare the scheduling policies on generated workload traces.
 
-    :param seed: seed of the traces.
-    :param scale: length of the arrivals, as a share of one hour.
-    :param sizes: measure also the growth by workers and queue length.
-    :param json: file for the results as JSON.
-    :param png: file for the plot; needs the extra ``plot``.
+    :param seed: random seed of the traces.
+    :param scale: time span in which work arrives, as a share of one hour.
+    :param sizes: also measure how the cost of decisions grows with the
+        number of workers and the queue length.
+    :param json: file to write the results to, as JSON.
+    :param png: file to write the plot to; needs the optional extra
+        ``plot``.
     """
     results = run_suite(make_traces(FLEETS, seed, scale))
     print(table(results))
--- a/src/magnoliapitch/console/bench_journal.py
+++ b/src/magnoliapitch/console/bench_journal.py
@@ -8,7 +8,7 @@
 from magnoliapitch.event import configure_logging
 
 
-CELLS = ((3, 2), (6, 4), (22, 7))
+ZONES_AND_INSTANCES_PER_ZONE = ((3, 2), (6, 4), (22, 7))
 JOB_COUNTS = (1_000, 10_000, 30_000)
 APPEND_RATES = ((10, 30), (100, 30), (1_000, 30), (100, 2), (1_000, 2))
 LOG_APPENDS_PER_S = 200
@@ -16,25 +16,34 @@
 
 @bench.command(name="journal")
 def bench_journal() -> None:
-    """Measure fold, snapshots, group commit, heartbeats and progress."""
+    """Measure the journal: fold, snapshots, appends and progress reports.
+
+    The fold applies the records of the log in order. Progress reports tell
+    instances how far the others have applied the log.
+    """
     configure_logging("bench", "local", EventLevel.ERROR)
-    for size in (1, 100):
+    for entries_per_record in (1, 100):
         print(
-            f"fold entries_per_record={size}",
-            journal.measure_fold(10_000, size),
+            f"fold entries_per_record={entries_per_record}",
+            journal.measure_fold(10_000, entries_per_record),
         )
     for jobs in JOB_COUNTS:
         print(f"snapshot jobs={jobs}", journal.measure_snapshot(jobs, 1_000))
-    for rate, budget in APPEND_RATES:
+    for entries_per_s, appends_per_s in APPEND_RATES:
+        print(
+            f"append entries_per_s={entries_per_s} "
+            f"budget_per_s={appends_per_s}",
+            journal.measure_appends(entries_per_s, appends_per_s),
+        )
+    for zones, per_zone in ZONES_AND_INSTANCES_PER_ZONE:
+        layout = f"zones={zones} per_zone={per_zone}"
+        print(
+            f"heartbeat {layout}", journal.measure_heartbeats(zones, per_zone)
+        )
         print(
-            f"append entries_per_s={rate} budget_per_s={budget}",
-            journal.measure_appends(rate, budget),
+            f"piggyback {layout}", journal.measure_piggyback(zones, per_zone)
         )
-    for zones, per_zone in CELLS:
-        cell = f"zones={zones} per_zone={per_zone}"
-        print(f"heartbeat {cell}", journal.measure_heartbeats(zones, per_zone))
-        print(f"piggyback {cell}", journal.measure_piggyback(zones, per_zone))
-        print(f"poll {cell}", journal.measure_poll(zones, per_zone))
-        count = zones * per_zone
-        figures = journal.measure_in_band(count, LOG_APPENDS_PER_S)
-        print(f"in-band {cell}", figures)
+        print(f"poll {layout}", journal.measure_poll(zones, per_zone))
+        instance_count = zones * per_zone
+        figures = journal.measure_in_band(instance_count, LOG_APPENDS_PER_S)
+        print(f"in-band {layout}", figures)
--- a/src/magnoliapitch/console/bench_request.py
+++ b/src/magnoliapitch/console/bench_request.py
@@ -22,16 +22,16 @@
     json: bool = False,
     profile: bool = False,
 ) -> None:
-    """Compare requests through an entry with direct calls of a backend.
+    """Compare requests through an entry with direct calls to a backend.
 
-    Everything runs in this one process, so that the paths also compete
-    for its interpreter; with one caller the difference is the entry's own
-    cost.
+    Everything runs in one process, so callers, entry and backend server
+    also compete for the Python interpreter; with one caller the difference
+    between the paths is the cost of the entry itself.
 
-    :param count: requests on each path.
-    :param callers: callers at once.
+    :param count: number of requests on each path.
+    :param callers: number of concurrent callers.
     :param json: print JSON instead of a table.
-    :param profile: show where the entry's threads spend their time.
+    :param profile: print a profile of the entry's threads instead.
     """
     if profile:
         print(profile_owner(count))
@@ -50,7 +50,7 @@
 
 
 def waiting(*, json: bool = False) -> None:
-    """Measure what 64 to 1,024 waiting callers cost a listener.
+    """Measure the cost of 64 to 1,024 waiting callers of a listener.
 
     :param json: print JSON instead of a table.
     """
--- a/src/magnoliapitch/console/client.py
+++ b/src/magnoliapitch/console/client.py
@@ -1,4 +1,4 @@
-"""Calls of commands to the HTTP interfaces of an instance."""
+"""Sends the HTTP calls of commands to an instance."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
 from magnoliapitch.verdict import Verdict
 
 
-TIMEOUT_S = 60
-REDIRECTS_MAX = 3
+ANSWER_TIMEOUT_S = 60
+MAX_REDIRECTS = 3
 URL_SCHEMES = ("http://", "https://")
-ERROR_STATUS = 300
+FIRST_FAILURE_STATUS = 300
 
-CALLER_URL = "http://127.0.0.1:8080"
-ADMIN_URL = "http://127.0.0.1:8081"
+DEFAULT_CALLER_URL = "http://127.0.0.1:8080"
+DEFAULT_ADMIN_URL = "http://127.0.0.1:8081"
 
-CallerServer = Annotated[
+CallerUrlOption = Annotated[
     str, Parameter(name="--server", env_var="MAGNOLIAPITCH_URL")
 ]
-AdminServer = Annotated[
+AdminUrlOption = Annotated[
     str, Parameter(name="--server", env_var="MAGNOLIAPITCH_ADMIN_URL")
 ]
-AsJson = Annotated[bool, Parameter(name="--json", negative="")]
+JsonFlag = Annotated[bool, Parameter(name="--json", negative="")]
 
 
-class Call(NamedTuple):
+class HttpCall(NamedTuple):
     """One HTTP call.
 
-    :param path: path with query, from the root of the server.
+    :param method: HTTP method.
+    :param path: absolute path, with the query if there is one.
     """
 
     method: str
@@ -46,19 +47,21 @@
     headers: Mapping[str, str] | None = None
 
 
-def send(server: str, call: Call) -> urllib3.BaseHTTPResponse:
-    """Send a call once and return the answer if it is a result.
+def send(server: str, call: HttpCall) -> urllib3.BaseHTTPResponse:
+    """Send a call, without retries, and return a successful answer.
 
-    :raises CommandError: if there is no answer, or it is a failure.
+    :param server: URL of the interface to call.
+    :raises CommandError: if the URL is invalid, no answer comes, or the
+        answer has a status of 300 or higher.
     """
-    answer = _exchange(server, call)
-    if answer.status >= ERROR_STATUS:
-        raise _failure(answer)
+    answer = _send_once(server, call)
+    if answer.status >= FIRST_FAILURE_STATUS:
+        raise _failure_answer_error(answer)
     return answer
 
 
-def decode(answer: urllib3.BaseHTTPResponse) -> Any:
-    """Return the JSON value of an answer.
+def decode_json(answer: urllib3.BaseHTTPResponse) -> Any:
+    """Return the decoded JSON body of an answer.
 
     :raises CommandError: if the answer is not JSON.
     """
@@ -72,16 +75,16 @@
         ) from error
 
 
-def _exchange(server: str, call: Call) -> urllib3.BaseHTTPResponse:
+def _send_once(server: str, call: HttpCall) -> urllib3.BaseHTTPResponse:
     if not server.startswith(URL_SCHEMES):
-        raise _not_a_url(server)
+        raise _invalid_url_error(server)
     retries = urllib3.Retry(
         total=None,
         connect=0,
         read=0,
         status=0,
         other=0,
-        redirect=REDIRECTS_MAX,
+        redirect=MAX_REDIRECTS,
         raise_on_redirect=False,
     )
     try:
@@ -90,27 +93,29 @@
             server.rstrip("/") + call.path,
             body=call.body,
             headers=dict(call.headers or {}),
-            timeout=TIMEOUT_S,
+            timeout=ANSWER_TIMEOUT_S,
             retries=retries,
         )
     except urllib3.exceptions.LocationValueError as error:
-        raise _not_a_url(server) from error
+        raise _invalid_url_error(server) from error
     except urllib3.exceptions.HTTPError as error:
-        raise _unreachable(server, error) from error
+        raise _connection_error(server, error) from error
 
 
-def _not_a_url(server: str) -> CommandError:
-    message = f"{server!r} is not a URL such as {ADMIN_URL}"
+def _invalid_url_error(server: str) -> CommandError:
+    message = (
+        f"server address {server!r} is not a URL such as {DEFAULT_ADMIN_URL}"
+    )
     return CommandError(message, ExitCode.USAGE)
 
 
-def _unreachable(
+def _connection_error(
     server: str, error: urllib3.exceptions.HTTPError
 ) -> CommandError:
     cause: Exception = error
     if isinstance(error, urllib3.exceptions.MaxRetryError) and error.reason:
         cause = error.reason
-    never_sent = isinstance(
+    is_never_sent = isinstance(
         cause,
         (
             urllib3.exceptions.NewConnectionError,
@@ -118,7 +123,7 @@
         ),
     )
     reason = str(cause).rpartition(": ")[2] or repr(cause)
-    if never_sent:
+    if is_never_sent:
         return CommandError(
             f"cannot reach {server}: {reason}", ExitCode.UNREACHABLE
         )
@@ -129,7 +134,7 @@
     )
 
 
-def _failure(answer: urllib3.BaseHTTPResponse) -> CommandError:
+def _failure_answer_error(answer: urllib3.BaseHTTPResponse) -> CommandError:
     try:
         problem = orjson.loads(answer.data)
         verdict = Verdict(problem["verdict"])
--- a/src/magnoliapitch/console/daemon.py
+++ b/src/magnoliapitch/console/daemon.py
@@ -1,7 +1,7 @@
-"""The program of one instance.
+"""Program that runs one instance.
 
-It has the ``entry`` command alone, so that an instance does not keep the
-libraries of the other commands in memory.
+It offers only the ``entry`` command, so that an instance does not load the
+libraries of the other commands into memory.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Run an instance until it is told to stop.
+    """Run an instance until SIGTERM or SIGINT, then exit.
 
-    :param arguments: words after the program's name, by default those of
-        the process.
+    :param arguments: command-line arguments without the program name, by
+        default those of the process.
     """
     application = App(name="magnoliapitch")
     application.command(entry)
--- a/src/magnoliapitch/console/demo.py
+++ b/src/magnoliapitch/console/demo.py
@@ -18,18 +18,19 @@
 
 
 def demo(*deployments: Path) -> None:
-    """Run the workload of deployments on in-process stand-ins.
+    """Run the workloads of deployments against simulated services.
 
-    A worker and a backend server are lost midway. Exits 1 if a promise
-    was broken.
+    All services run inside this process. Each run loses a worker and a
+    backend server midway. The exit code is 1 if a run violated a guarantee
+    of the scheduler.
 
     :param deployments: deployment files, by default both examples.
     """
     loaded = [read_deployment(file) for file in deployments or DEPLOYMENTS]
     configure_logging("demo", "none", EventLevel.ERROR)
-    broken = False
-    for item in loaded:
-        result = Demo(item).run()
+    has_failed = False
+    for deployment in loaded:
+        result = Demo(deployment).run()
         print_result(result)
-        broken = broken or bool(result.problems)
-    sys.exit(ExitCode.FAILED if broken else ExitCode.DONE)
+        has_failed = has_failed or bool(result.problems)
+    sys.exit(ExitCode.FAILED if has_failed else ExitCode.DONE)
--- a/src/magnoliapitch/console/dev.py
+++ b/src/magnoliapitch/console/dev.py
@@ -6,7 +6,7 @@
 
 from magnoliapitch.console.exceptions import CommandError
 from magnoliapitch.console.exit_code import ExitCode
-from magnoliapitch.console.signals import ending_on_signals
+from magnoliapitch.console.signals import install_stop_signals
 from magnoliapitch.event import EventLevel
 from magnoliapitch.event import configure_logging
 from magnoliapitch.standin.deployment import Deployment
@@ -25,23 +25,28 @@
 
     Everything is kept in memory and listens on 127.0.0.1 only.
 
-    :param deployment: deployment file with sizes and catalogue.
-    :param entries: entry instances to run in this process, by default as
-        many as the file says; 0 leaves them to other processes.
-    :param platform_port: port of the stand-ins of log, instance list,
-        workers and backend servers; 0 picks one.
+    :param deployment: TOML file that gives the sizes and the catalogue of
+        the deployment.
+    :param entries: number of entry instances to run in this process, by
+        default the number in the file; with 0, run them in other
+        processes.
+    :param platform_port: port of the simulated log, instance list, workers
+        and backend servers; 0 chooses a free port.
     """
-    loaded = read_deployment(deployment)
-    configure_logging("dev", loaded.name, EventLevel.WARNING)
-    ends = ending_on_signals()
-    serving = ServingCell(loaded, platform_port)
-    serving.start(loaded.entries if entries is None else entries)
+    loaded_deployment = read_deployment(deployment)
+    configure_logging("dev", loaded_deployment.name, EventLevel.WARNING)
+    exit_codes = install_stop_signals()
+    serving_cell = ServingCell(loaded_deployment, platform_port)
+    serving_cell.start(
+        loaded_deployment.entries if entries is None else entries
+    )
     try:
-        _print_urls(serving)
-        ends.get()
+        _print_urls(serving_cell)
+        exit_codes.get()
     finally:
-        # Its threads would keep a process alive whose output was closed.
-        serving.stop()
+        # Printing fails if the output is closed; without this the threads
+        # would then keep the process alive.
+        serving_cell.stop()
 
 
 def read_deployment(file: Path) -> Deployment:
@@ -55,12 +60,12 @@
         raise CommandError(str(error), ExitCode.INVALID_FILE) from error
 
 
-def _print_urls(serving: ServingCell) -> None:
-    url = serving.server.url
-    print(f"deployment {serving.deployment.name}")
+def _print_urls(serving_cell: ServingCell) -> None:
+    url = serving_cell.server.url
+    print(f"deployment {serving_cell.deployment.name}")
     print(f"log {url}/log")
     print(f"instance-list {url}")
-    for node in serving.cell.entries:
+    for node in serving_cell.cell.entries:
         address = node.settings.address
         print(
             f"{node.settings.instance_id} zone {node.settings.zone} "
--- a/src/magnoliapitch/console/drain.py
+++ b/src/magnoliapitch/console/drain.py
@@ -2,18 +2,19 @@
 
 from __future__ import annotations
 
-from magnoliapitch.console.client import ADMIN_URL
-from magnoliapitch.console.client import AdminServer
-from magnoliapitch.console.client import Call
+from magnoliapitch.console.client import DEFAULT_ADMIN_URL
+from magnoliapitch.console.client import AdminUrlOption
+from magnoliapitch.console.client import HttpCall
 from magnoliapitch.console.client import send
 
 
-def drain(*, server: AdminServer = ADMIN_URL) -> None:
-    """Let an instance refuse new work and finish what it has accepted.
+def drain(*, server: AdminUrlOption = DEFAULT_ADMIN_URL) -> None:
+    """Make an instance reject new work and finish what it has accepted.
 
-    The instance is no longer ready; end it with SIGTERM.
+    The instance reports that it is not ready, but keeps running; end it
+    with SIGTERM.
 
-    :param server: URL of the operators' interface.
+    :param server: URL of the instance's operator interface.
     """
-    send(server, Call("POST", "/v1/drain"))
+    send(server, HttpCall("POST", "/v1/drain"))
     print(f"{server}: draining; end the process with SIGTERM")
--- a/src/magnoliapitch/console/entry.py
+++ b/src/magnoliapitch/console/entry.py
@@ -16,8 +16,8 @@
 from magnoliapitch.console.exit_code import ExitCode
 from magnoliapitch.console.settings import read_cluster_settings
 from magnoliapitch.console.settings import read_settings
-from magnoliapitch.console.signals import ending_on_signals
-from magnoliapitch.console.signals import reload_on_hangup
+from magnoliapitch.console.signals import install_reload_signal
+from magnoliapitch.console.signals import install_stop_signals
 from magnoliapitch.event import configure_logging
 from magnoliapitch.event import log_event
 from magnoliapitch.event.writer import LineWriter
@@ -41,58 +41,69 @@
 ) -> None:
     """Run an entry instance until SIGTERM or SIGINT.
 
+    SIGHUP reads the settings file again and applies the log level.
+
     :param settings: TOML settings file.
     """
-    ends = ending_on_signals()
-    writer = LineWriter(sys.stdout)
-    node = _make_node(settings, writer, lambda: ends.put(ExitCode.GAVE_UP))
-    reload_on_hangup(lambda: _reload(settings, writer))
+    exit_codes = install_stop_signals()
+    log_writer = LineWriter(sys.stdout)
+    node = _make_node(
+        settings, log_writer, lambda: exit_codes.put(ExitCode.GAVE_UP)
+    )
+    install_reload_signal(lambda: _reload_log_level(settings, log_writer))
     node.start()
-    exit_code = ends.get()
+    exit_code = exit_codes.get()
     node.stop()
-    writer.close()
+    log_writer.close()
     sys.exit(exit_code)
 
 
-def _configure_log(
-    loaded: Settings | ClusterSettings, writer: LineWriter
+def _configure_logging(
+    loaded_settings: Settings | ClusterSettings, log_writer: LineWriter
 ) -> None:
     configure_logging(
-        loaded.instance_id, loaded.zone, loaded.log_level, write=writer.write
+        loaded_settings.instance_id,
+        loaded_settings.zone,
+        loaded_settings.log_level,
+        write=log_writer.write,
     )
 
 
-def _reload(settings: Path, writer: LineWriter) -> None:
-    """Check the settings again; only the log level is changed in place."""
+def _reload_log_level(settings: Path, log_writer: LineWriter) -> None:
+    """Read the settings again and apply the log level, if they are valid.
+
+    The other settings take effect at the next start.
+    """
     is_cluster = is_cluster_file(settings)
-    read = read_cluster_settings if is_cluster else read_settings
+    read_file = read_cluster_settings if is_cluster else read_settings
     try:
-        loaded = read(settings)
+        loaded_settings = read_file(settings)
     except CommandError as error:
         log_event("settings-rejected", reason=str(error))
         return
-    _configure_log(loaded, writer)
-    log_event("settings-reloaded", log_level=loaded.log_level)
+    _configure_logging(loaded_settings, log_writer)
+    log_event("settings-reloaded", log_level=loaded_settings.log_level)
 
 
 def _make_node(
-    settings: Path, writer: LineWriter, give_up: Callable[[], None]
+    settings: Path, log_writer: LineWriter, give_up: Callable[[], None]
 ) -> _Node:
     if is_cluster_file(settings):
-        return _make_job_node(settings, writer, give_up)
-    # Each kind of node loads only what it needs.
+        return _make_job_node(settings, log_writer, give_up)
+    # Imported here so that each kind of instance loads only the modules
+    # that it needs.
     from magnoliapitch.entry.node import EntryNode
 
-    loaded = read_settings(settings)
-    _configure_log(loaded, writer)
-    return EntryNode.from_settings(loaded, give_up)
+    loaded_settings = read_settings(settings)
+    _configure_logging(loaded_settings, log_writer)
+    return EntryNode.from_settings(loaded_settings, give_up)
 
 
 def _make_job_node(
-    settings: Path, writer: LineWriter, give_up: Callable[[], None]
+    settings: Path, log_writer: LineWriter, give_up: Callable[[], None]
 ) -> _Node:
     from magnoliapitch.entry.job_node import JobNode
 
-    loaded = read_cluster_settings(settings)
-    _configure_log(loaded, writer)
-    return JobNode(loaded, give_up)
+    loaded_settings = read_cluster_settings(settings)
+    _configure_logging(loaded_settings, log_writer)
+    return JobNode(loaded_settings, give_up)
--- a/src/magnoliapitch/console/exceptions.py
+++ b/src/magnoliapitch/console/exceptions.py
@@ -10,9 +10,9 @@
 
 
 class CommandError(Exception):
-    """A command that cannot do what was asked.
+    """Raised if a command fails; its message is printed to the user.
 
-    :param message: what went wrong, for a person; one line a problem.
+    :param message: what went wrong, with one line for each problem.
     :param exit_code: exit code of the process.
     """
 
--- a/src/magnoliapitch/console/job.py
+++ b/src/magnoliapitch/console/job.py
@@ -8,19 +8,19 @@
 
 from cyclopts import App
 
-from magnoliapitch.console.client import CALLER_URL
-from magnoliapitch.console.client import AsJson
-from magnoliapitch.console.client import Call
-from magnoliapitch.console.client import CallerServer
-from magnoliapitch.console.client import decode
+from magnoliapitch.console.client import DEFAULT_CALLER_URL
+from magnoliapitch.console.client import CallerUrlOption
+from magnoliapitch.console.client import HttpCall
+from magnoliapitch.console.client import JsonFlag
+from magnoliapitch.console.client import decode_json
 from magnoliapitch.console.client import send
 from magnoliapitch.console.output import print_table
 from magnoliapitch.console.output import print_value
 
 
-COLUMNS = ("job_id", "entry", "unit", "tasks", "finished", "done")
+LIST_COLUMNS = ("job_id", "entry", "unit", "tasks", "finished", "done")
 
-job = App(name="job", help="Submit, watch and cancel jobs.")
+job = App(name="job", help="Submit, inspect and cancel jobs.")
 
 
 @job.command
@@ -35,21 +35,21 @@
     run_ms: int = 60_000,
     deadline_ms: int = 0,
     payload: str = "",
-    server: CallerServer = CALLER_URL,
+    server: CallerUrlOption = DEFAULT_CALLER_URL,
 ) -> None:
-    """Submit a job; submitting the same job again is idempotent.
+    """Submit a job; submitting the same job again has no further effect.
 
     :param job_id: unique id of the job.
-    :param entry: catalogue entry of the work.
+    :param entry: name of the catalogue entry that the job belongs to.
     :param tasks: number of tasks.
     :param cpu_millis: thousandths of a core for each task.
     :param memory_mb: mebibytes of memory for each task.
     :param accelerators: accelerators for each task.
     :param run_ms: expected run time of each task, in milliseconds.
-    :param deadline_ms: wanted completion in milliseconds after
-        submission, 0 for none.
-    :param payload: input of every task.
-    :param server: URL of the callers' interface.
+    :param deadline_ms: time from submission until the job should be
+        complete, in milliseconds; 0 for no deadline.
+    :param payload: input that every task receives.
+    :param server: URL of the instance's caller interface.
     """
     value = {
         "job_id": job_id,
@@ -64,62 +64,70 @@
         "deadline_ms": deadline_ms,
         "payload": payload,
     }
-    send(server, Call("POST", "/v1/jobs", orjson.dumps(value)))
+    send(server, HttpCall("POST", "/v1/jobs", orjson.dumps(value)))
     print(f"{job_id}: accepted")
 
 
 @job.command(name="list")
 def list_jobs(
-    *, server: CallerServer = CALLER_URL, as_json: AsJson = False
+    *, server: CallerUrlOption = DEFAULT_CALLER_URL, as_json: JsonFlag = False
 ) -> None:
-    """List the jobs that an instance knows.
+    """List the jobs that an instance knows of.
 
-    :param server: URL of the callers' interface.
-    :param as_json: print JSON.
+    :param server: URL of the instance's caller interface.
+    :param as_json: print JSON instead of text.
     """
-    rows = decode(send(server, Call("GET", "/v1/jobs")))["jobs"]
+    rows = decode_json(send(server, HttpCall("GET", "/v1/jobs")))["jobs"]
     if as_json:
         print_value(rows, as_json)
     else:
-        print_table(rows, COLUMNS)
+        print_table(rows, LIST_COLUMNS)
 
 
 @job.command
 def status(
-    job_id: str, *, server: CallerServer = CALLER_URL, as_json: AsJson = False
+    job_id: str,
+    *,
+    server: CallerUrlOption = DEFAULT_CALLER_URL,
+    as_json: JsonFlag = False,
 ) -> None:
-    """Show how far a job is.
+    """Show the progress of a job.
 
     :param job_id: id of the job.
-    :param server: URL of the callers' interface.
-    :param as_json: print JSON.
+    :param server: URL of the instance's caller interface.
+    :param as_json: print JSON instead of text.
     """
-    print_value(_get(server, f"/v1/jobs/{job_id}"), as_json)
+    print_value(_fetch(server, f"/v1/jobs/{job_id}"), as_json)
 
 
 @job.command
 def explain(
-    job_id: str, *, server: CallerServer = CALLER_URL, as_json: AsJson = False
+    job_id: str,
+    *,
+    server: CallerUrlOption = DEFAULT_CALLER_URL,
+    as_json: JsonFlag = False,
 ) -> None:
-    """Tell why a job waits.
+    """Explain why a job is waiting.
 
     :param job_id: id of the job.
-    :param server: URL of the callers' interface.
-    :param as_json: print JSON.
+    :param server: URL of the instance's caller interface.
+    :param as_json: print JSON instead of text.
     """
-    print_value(_get(server, f"/v1/jobs/{job_id}/explanation"), as_json)
+    print_value(_fetch(server, f"/v1/jobs/{job_id}/explanation"), as_json)
 
 
 @job.command
-def cancel(job_id: str, *, server: CallerServer = CALLER_URL) -> None:
-    """Cancel a job; tasks that run are stopped.
+def cancel(
+    job_id: str, *, server: CallerUrlOption = DEFAULT_CALLER_URL
+) -> None:
+    """Cancel a job and stop its running tasks.
 
     :param job_id: id of the job.
-    :param server: URL of the callers' interface.
+    :param server: URL of the instance's caller interface.
     """
-    send(server, Call("DELETE", f"/v1/jobs/{job_id}"))
+    send(server, HttpCall("DELETE", f"/v1/jobs/{job_id}"))
     print(f"{job_id}: cancelled")
 
 
-def _get(server: str, path: str) -> Any:
-    return decode(send(server, Call("GET", path)))
+def _fetch(server: str, path: str) -> Any:
+    return decode_json(send(server, HttpCall("GET", path)))
--- a/src/magnoliapitch/console/output.py
+++ b/src/magnoliapitch/console/output.py
@@ -1,4 +1,4 @@
-"""What commands print."""
+"""Prints the results of commands."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def print_value(value: Any, as_json: bool) -> None:
-    """Print a value as JSON, or its fields a line each."""
+    """Print a value as JSON, or a dictionary as one line for each field."""
     if as_json or not isinstance(value, dict):
         print_json(value)
         return
     for key, field in value.items():
-        print(f"{key}: {_plain(field)}")
+        print(f"{key}: {_format_cell(field)}")
 
 
 def print_json(value: Any) -> None:
@@ -30,9 +30,14 @@
 def print_table(
     rows: Sequence[Mapping[str, object]], columns: Sequence[str]
 ) -> None:
-    """Print rows below a header, columns padded to their widest cell."""
+    """Print rows below a header, in aligned columns.
+
+    :param columns: keys to print, in order; they are also the header.
+    """
     cells = [list(columns)]
-    cells += [[_plain(row.get(key, "")) for key in columns] for row in rows]
+    cells += [
+        [_format_cell(row.get(key, "")) for key in columns] for row in rows
+    ]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     for line in cells:
         padded = (
@@ -41,7 +46,7 @@
         print("  ".join(padded).rstrip())
 
 
-def _plain(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, (dict, list)):
         return orjson.dumps(value).decode()
     if isinstance(value, bool):
--- a/src/magnoliapitch/console/running.py
+++ b/src/magnoliapitch/console/running.py
@@ -1,4 +1,4 @@
-"""Runs commands and turns errors into messages and exit codes."""
+"""Runs a command and turns its errors into messages and exit codes."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 ) -> None:
     """Run a command line and exit with the command's exit code.
 
-    :param arguments: words after the program's name, by default those of
-        the process.
+    :param arguments: command-line arguments without the program name, by
+        default those of the process.
     """
     try:
         application(arguments, exit_on_error=False)
     except CycloptsError:
         sys.exit(ExitCode.USAGE)
     except CommandError as error:
-        _fail(str(error), error.exit_code)
+        _exit_with_message(str(error), error.exit_code)
     except UnknownNameError as error:
-        _fail(f"settings: {error}", ExitCode.INVALID_FILE)
+        _exit_with_message(f"settings: {error}", ExitCode.INVALID_FILE)
     except StartError as error:
-        _fail(f"cannot start: {error}", ExitCode.CANNOT_START)
+        _exit_with_message(f"cannot start: {error}", ExitCode.CANNOT_START)
 
 
-def _fail(message: str, exit_code: ExitCode) -> None:
+def _exit_with_message(message: str, exit_code: ExitCode) -> None:
     for line in message.splitlines():
         print(f"magnoliapitch: {line}", file=sys.stderr)
     sys.exit(exit_code)
--- a/src/magnoliapitch/console/settings.py
+++ b/src/magnoliapitch/console/settings.py
@@ -16,12 +16,12 @@
 from magnoliapitch.settings.cluster import load_cluster_settings
 
 
-settings = App(name="settings", help="Work with settings files.")
+settings = App(name="settings", help="Check settings files.")
 
 
 @settings.command
 def check(file: Path) -> None:
-    """Check a settings file without starting anything.
+    """Check a settings file without starting an instance.
 
     :param file: TOML settings file.
     """
@@ -44,9 +44,9 @@
 
 
 def read_cluster_settings(file: Path) -> ClusterSettings:
-    """Read the settings file of a job instance for a command.
+    """Read the settings of an instance that schedules jobs from a store.
 
-    :raises CommandError: if it is not valid.
+    :raises CommandError: if the file cannot be read or is not valid.
     """
     try:
         return load_cluster_settings(file)
@@ -55,9 +55,9 @@
 
 
 def read_settings(file: Path) -> Settings:
-    """Read a settings file for a command.
+    """Read the settings file of an entry instance.
 
-    :raises CommandError: if it is not valid.
+    :raises CommandError: if the file cannot be read or is not valid.
     """
     try:
         return load_settings(file)
--- a/src/magnoliapitch/console/signals.py
+++ b/src/magnoliapitch/console/signals.py
@@ -1,4 +1,4 @@
-"""Waits for signals to a process that serves."""
+"""Handles the signals that stop an instance or reload its settings."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 from magnoliapitch.console.exit_code import ExitCode
 
 
-def ending_on_signals() -> SimpleQueue[ExitCode]:
-    """Return a queue that SIGTERM and SIGINT put an exit code on.
+def install_stop_signals() -> SimpleQueue[ExitCode]:
+    """Return a queue that receives an exit code on SIGTERM or SIGINT.
 
-    A simple queue, unlike an event, may be filled by a signal handler
-    that interrupts the thread waiting on it.
+    The queue is a ``SimpleQueue`` because a signal handler may interrupt
+    the very thread that waits on it. ``SimpleQueue.put`` is safe then,
+    ``threading.Event.set`` is not.
     """
-    ends: SimpleQueue[ExitCode] = SimpleQueue()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: ends.put(ExitCode.DONE))
-    return ends
+    exit_codes: SimpleQueue[ExitCode] = SimpleQueue()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: exit_codes.put(ExitCode.DONE))
+    return exit_codes
 
 
-def reload_on_hangup(reload: Callable[[], None]) -> None:
-    """Call a function in a thread of its own whenever SIGHUP comes."""
+def install_reload_signal(reload: Callable[[], None]) -> None:
+    """Call a function on every SIGHUP, each time in a new thread."""
 
-    def start(*_: object) -> None:
+    def start_reload(*_: object) -> None:
         threading.Thread(target=reload, name="reload", daemon=True).start()
 
-    signal.signal(signal.SIGHUP, start)
+    signal.signal(signal.SIGHUP, start_reload)
--- a/src/magnoliapitch/console/state.py
+++ b/src/magnoliapitch/console/state.py
@@ -2,26 +2,30 @@
 
 from __future__ import annotations
 
-from magnoliapitch.console.client import ADMIN_URL
-from magnoliapitch.console.client import AdminServer
-from magnoliapitch.console.client import Call
-from magnoliapitch.console.client import decode
+from magnoliapitch.console.client import DEFAULT_ADMIN_URL
+from magnoliapitch.console.client import AdminUrlOption
+from magnoliapitch.console.client import HttpCall
+from magnoliapitch.console.client import decode_json
 from magnoliapitch.console.client import send
 from magnoliapitch.console.exceptions import CommandError
 from magnoliapitch.console.exit_code import ExitCode
 from magnoliapitch.console.output import print_json
 
 
-def state(part: str = "", *, server: AdminServer = ADMIN_URL) -> None:
-    """Print the state dump of an instance as JSON.
+def state(
+    part: str = "", *, server: AdminUrlOption = DEFAULT_ADMIN_URL
+) -> None:
+    """Print the internal state of an instance as JSON, for debugging.
 
-    :param part: only this part, for example ``journal``.
-    :param server: URL of the operators' interface.
+    :param part: name of the only part to print, for example ``journal``;
+        by default all parts.
+    :param server: URL of the instance's operator interface.
     """
-    dump = decode(send(server, Call("GET", "/v1/state")))
-    if part and part not in dump:
+    state_dump = decode_json(send(server, HttpCall("GET", "/v1/state")))
+    if part and part not in state_dump:
         raise CommandError(
-            f"no part {part!r}; the dump has {', '.join(sorted(dump))}",
+            f"the state has no part {part!r}; the dump has "
+            f"{', '.join(sorted(state_dump))}",
             ExitCode.USAGE,
         )
-    print_json(dump[part] if part else dump)
+    print_json(state_dump[part] if part else state_dump)
--- a/tests/console/test_commands.py
+++ b/tests/console/test_commands.py
@@ -40,9 +40,7 @@
     running.stop()
 
 
-def test_commands_publish_a_catalogue_and_serve_from_it(
-    run: Run, urls: Urls
-) -> None:
+def test_catalogue_commands_and_requests(run: Run, urls: Urls) -> None:
     admin = ("--server", urls.admin)
     caller = ("--server", urls.caller)
     checked = run("catalogue", "put", CLUBS, "--dry-run", *admin)
@@ -72,7 +70,7 @@
     assert "no catalogue entry 'fee-close'" in unknown.err
 
 
-def test_commands_submit_watch_and_cancel_jobs(run: Run, urls: Urls) -> None:
+def test_job_commands_submit_show_and_cancel(run: Run, urls: Urls) -> None:
     server = ("--server", urls.caller)
     run("catalogue", "put", CLUBS, "--server", urls.admin)
     wait_until(
@@ -91,7 +89,7 @@
     )
 
 
-def test_commands_show_state_and_its_parts(run: Run, urls: Urls) -> None:
+def test_state_prints_all_parts_or_one(run: Run, urls: Urls) -> None:
     server = ("--server", urls.admin)
     assert "supervisor" in orjson.loads(run("state", *server).out)
     part = orjson.loads(run("state", "journal", *server).out)
@@ -111,7 +109,7 @@
         ("catalogue", "list"),
     ],
 )
-def test_commands_name_a_server_that_is_unreachable(
+def test_unreachable_server_is_named(
     run: Run, arguments: tuple[str, ...]
 ) -> None:
     with socket.socket() as unused:
@@ -123,7 +121,7 @@
     assert "Traceback" not in outcome.err
 
 
-def test_commands_say_when_a_request_may_have_run(run: Run) -> None:
+def test_lost_answer_says_that_the_request_may_have_run(run: Run) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
 
         def accept_and_close() -> None:
@@ -140,7 +138,7 @@
     assert "the request may have run" in outcome.err
 
 
-def test_commands_refuse_wrong_files_and_words(
+def test_invalid_files_and_arguments_are_rejected(
     run: Run, tmp_path: Path
 ) -> None:
     wrong = tmp_path / "wrong.toml"
@@ -165,13 +163,15 @@
         assert "Traceback" not in outcome.err
 
 
-def test_commands_check_the_examples(run: Run) -> None:
+def test_example_catalogues_are_valid(run: Run) -> None:
     for name, count in (("clubs", 6), ("rounds", 6)):
         outcome = run("catalogue", "check", EXAMPLES / f"{name}.toml")
         assert f"{count} valid entries" in outcome.out
 
 
-def test_commands_explain_why_a_job_waits(run: Run, urls: Urls) -> None:
+def test_job_explain_names_the_limit_of_a_waiting_job(
+    run: Run, urls: Urls
+) -> None:
     server = ("--server", urls.caller)
     run("catalogue", "put", CLUBS, "--server", urls.admin)
     big = ("--tasks", 900, "--cpu-millis", 16_000, "--payload", "run_ms=60000")
--- a/tests/console/test_daemon.py
+++ b/tests/console/test_daemon.py
@@ -11,28 +11,33 @@
 from magnoliapitch.console.exit_code import ExitCode
 
 
-# Each takes megabytes that an instance has no use for.
-NEEDLESS = ("numpy", "capnp", "magnoliapitch.decision", "magnoliapitch.bench")
-LIST_MODULES = (
+# Each would take megabytes of memory that an instance does not need.
+UNNEEDED_MODULES = (
+    "numpy",
+    "capnp",
+    "magnoliapitch.decision",
+    "magnoliapitch.bench",
+)
+PRINT_LOADED_MODULES = (
     "import sys, magnoliapitch.console.daemon, magnoliapitch.entry.job_node; "
     "print('\\n'.join(sys.modules))"
 )
 
 
-def test_a_job_instance_loads_no_library_of_other_commands() -> None:
+def test_job_instance_loads_no_libraries_of_other_commands() -> None:
     source = Path(__file__).parents[2] / "src"
     loaded = subprocess.run(
-        [sys.executable, "-c", LIST_MODULES],
+        [sys.executable, "-c", PRINT_LOADED_MODULES],
         check=True,
         capture_output=True,
         text=True,
         env={"PYTHONPATH": str(source)},
     ).stdout.split()
     assert "magnoliapitch.entry.job_node" in loaded
-    assert [name for name in NEEDLESS if name in loaded] == []
+    assert [name for name in UNNEEDED_MODULES if name in loaded] == []
 
 
-def test_invalid_settings_end_the_program_with_a_message(
+def test_invalid_settings_exit_with_a_message(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "settings.toml"
--- a/tests/console/test_logs.py
+++ b/tests/console/test_logs.py
@@ -11,11 +11,17 @@
     from pathlib import Path
 
 
-HEAD = "time=2026-12-03T10:00:{second}Z level=info event={event} instance={at}"
+LINE_HEAD = (
+    "time=2026-12-03T10:00:{second}Z level=info event={event} "
+    "instance={instance}"
+)
 
 
-def line(second: str, event: str, at: str, rest: str) -> str:
-    return f"{HEAD.format(second=second, event=event, at=at)} {rest}\n"
+def line(second: str, event: str, instance: str, extra: str) -> str:
+    return (
+        f"{LINE_HEAD.format(second=second, event=event, instance=instance)} "
+        f"{extra}\n"
+    )
 
 
 @pytest.fixture
@@ -38,29 +44,29 @@
     return [str(first), str(second)]
 
 
-@pytest.mark.parametrize("wanted", ["0a", "r1"])
-def test_explain_tells_one_story_over_all_files(
-    wanted: str, files: list[str], capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("searched_id", ["0a", "r1"])
+def test_explain_prints_events_of_all_files_in_order(
+    searched_id: str, files: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit) as ended:
-        main(["logs", "explain", wanted, *files])
+        main(["logs", "explain", searched_id, *files])
     assert not ended.value.code
-    told = capsys.readouterr().out.splitlines()
-    assert [part.split()[3] for part in told if " ms  " in part] == [
+    printed = capsys.readouterr().out.splitlines()
+    assert [part.split()[3] for part in printed if " ms  " in part] == [
         "call-answered",
         "step-starting",
         "step-done",
     ]
-    assert any("2500 ms silent" in part for part in told)
+    assert any("2500 ms without an event" in part for part in printed)
 
 
-def test_explain_says_when_nothing_is_known(files: list[str]) -> None:
+def test_explain_fails_if_no_event_matches(files: list[str]) -> None:
     with pytest.raises(SystemExit) as ended:
         main(["logs", "explain", "0c", *files])
     assert ended.value.code
 
 
-def test_explain_names_what_went_on_in_a_silence(
+def test_explain_prints_instance_events_in_a_gap(
     files: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     third = tmp_path / "c.log"
@@ -73,6 +79,11 @@
     other.write_text(line("02.500000", "store-unavailable", "d", "reason=x"))
     with pytest.raises(SystemExit):
         main(["logs", "explain", "0a", *files, str(third), str(other)])
-    told = capsys.readouterr().out.splitlines()
-    aside = [part.split()[2:4] for part in told if "(meanwhile)" in part]
-    assert aside == [["c", "leadership-claimed"], ["c", "store-unavailable"]]
+    printed = capsys.readouterr().out.splitlines()
+    background = [
+        part.split()[2:4] for part in printed if "(meanwhile)" in part
+    ]
+    assert background == [
+        ["c", "leadership-claimed"],
+        ["c", "store-unavailable"],
+    ]
--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -24,7 +24,7 @@
 PAGES = (*ROOT.glob("*.md"), *DOCS.rglob("*.md"))
 
 
-def rows_of(page: str) -> list[list[str]]:
+def table_rows(page: str) -> list[list[str]]:
     lines = (DOCS / page).read_text().splitlines()
     return [
         [cell.strip() for cell in line.strip("|").split("|")]
@@ -36,16 +36,16 @@
 def test_settings_page_lists_every_setting_with_its_default() -> None:
     listed = {
         row[0].strip("`"): row[2].strip("`")
-        for row in rows_of("settings.md")
+        for row in table_rows("settings.md")
         if row[0].startswith("`")
     }
     assert listed == {info.key: info.default for info in setting_infos()}
 
 
-def test_events_page_lists_every_event_and_what_to_do() -> None:
+def test_events_page_lists_every_event_with_level_and_action() -> None:
     rows = {
         row[0].strip("`"): row
-        for row in rows_of("events.md")
+        for row in table_rows("events.md")
         if row[0].startswith("`")
     }
     assert set(rows) == set(kinds_by_name)
@@ -55,7 +55,7 @@
             assert rows[name][3], name
 
 
-def test_events_that_are_logged_are_those_that_are_known() -> None:
+def test_logged_events_are_exactly_the_defined_events() -> None:
     logged: set[str] = set()
     for path in (ROOT / "src").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -70,30 +70,32 @@
     assert logged == set(kinds_by_name)
 
 
-def commands_of(app: App, prefix: str) -> Iterator[str]:
+def command_paths(app: App, prefix: str) -> Iterator[str]:
     for name in app:
         if name.startswith("-"):
             continue
         child = app[name]
         if any(not item.startswith("-") for item in child):
-            yield from commands_of(child, f"{prefix} {name}")
+            yield from command_paths(child, f"{prefix} {name}")
         else:
             yield f"{prefix} {name}"
 
 
 def test_cli_page_lists_every_command_and_exit_code() -> None:
     text = (DOCS / "cli.md").read_text()
-    for command in commands_of(application, "magnoliapitch"):
+    for command in command_paths(application, "magnoliapitch"):
         if not command.startswith("magnoliapitch bench"):
             assert f"| `{command}" in text, command
     listed = {
-        (int(row[0]), row[1]) for row in rows_of("cli.md") if row[0].isdigit()
+        (int(row[0]), row[1])
+        for row in table_rows("cli.md")
+        if row[0].isdigit()
     }
     assert listed == {(code.value, code.name) for code in ExitCode}
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_page_links_lead_somewhere(page: Path) -> None:
+def test_page_links_have_existing_targets(page: Path) -> None:
     for target in re.findall(r"\]\(([^)#]+)(?:#[^)]*)?\)", page.read_text()):
         if not target.startswith("http"):
             assert (page.parent / target).exists(), target
