--- a/src/magnoliapitch/capacity/plan.py
+++ b/src/magnoliapitch/capacity/plan.py
@@ -35,12 +35,12 @@
         are spread; an entry follows one of them.
     :param tasks_per_end_entry: ended tasks of a job that one log entry
         records.
-    :param incremental_views: whether a worker's reply lists only the tasks
-        that changed.
+    :param uses_incremental_views: whether a worker's reply lists only the
+        tasks that changed.
     :param starts_per_call: tasks that one call to a worker starts.
     :param list_refresh_interval_s: interval in seconds between reads of the
         platform's instance list.
-    :param incremental_list: whether a read of the instance list returns
+    :param uses_incremental_list: whether a read of the instance list returns
         only the changed instances of the entry's own zone.
     """
 
@@ -54,10 +54,10 @@
     snapshot_interval_s: float = 600
     log_streams: int = 1
     tasks_per_end_entry: int = 1
-    incremental_views: bool = False
+    uses_incremental_views: bool = False
     starts_per_call: int = 1
     list_refresh_interval_s: float = REFRESH_INTERVAL_MS / 1000
-    incremental_list: bool = False
+    uses_incremental_list: bool = False
 
     @classmethod
     def as_built(cls, entries_per_zone: int = 7) -> Plan:
@@ -74,10 +74,10 @@
             heartbeat_interval_s=4,
             log_streams=ZONE_COUNT,
             tasks_per_end_entry=10,
-            incremental_views=True,
+            uses_incremental_views=True,
             starts_per_call=4,
             list_refresh_interval_s=2,
-            incremental_list=True,
+            uses_incremental_list=True,
         )
 
     @property
--- a/src/magnoliapitch/capacity/roles.py
+++ b/src/magnoliapitch/capacity/roles.py
@@ -141,7 +141,7 @@
     listed_instances = float(target.workers + sizing.entries)
     reads = 1 / sizing.plan.list_refresh_interval_s
     instances_per_second = listed_instances * reads
-    if sizing.plan.incremental_list:
+    if sizing.plan.uses_incremental_list:
         listed_instances /= target.zones
         instances_per_second = (
             target.instance_changes_per_second / target.zones
@@ -267,7 +267,7 @@
     :param started: tasks that the call starts, 0 for a renewal.
     """
     tasks = sizing.target.tasks_per_worker + 1 + started
-    if sizing.plan.incremental_views:
+    if sizing.plan.uses_incremental_views:
         tasks = float(started)
     return sizing.fitted_cost(
         "bytes on the wire of a renewal, by tasks", tasks
--- a/src/magnoliapitch/console/catalogue.py
+++ b/src/magnoliapitch/console/catalogue.py
@@ -63,12 +63,12 @@
     :param server: URL of the instance's operator interface.
     :param as_json: print JSON instead of text.
     """
-    answer = send(server, HttpCall("GET", f"/v1/catalogue/{name}"))
+    response = send(server, HttpCall("GET", f"/v1/catalogue/{name}"))
     applied = _fetch_applied(server, name)
     value = {
-        "version": int(answer.headers["ETag"].strip('"')),
+        "version": int(response.headers["ETag"].strip('"')),
         "everywhere": applied["everywhere"],
-        **decode_json(answer),
+        **decode_json(response),
         "instances": applied["instances"],
     }
     print_value(value, as_json)
@@ -170,11 +170,11 @@
         orjson.dumps(value),
         {"If-Match": f'"{expected_version}"'},
     )
-    answer = decode_json(send(server, call))
+    response = decode_json(send(server, call))
     if dry_run:
         print(f"{entry.name}: valid, not changed")
     else:
-        print(f"{entry.name}: version {answer['version']}")
+        print(f"{entry.name}: version {response['version']}")
 
 
 def _fetch_applied(server: str, name: str) -> Any:
--- a/src/magnoliapitch/console/client.py
+++ b/src/magnoliapitch/console/client.py
@@ -17,7 +17,7 @@
 from magnoliapitch.verdict import Verdict
 
 
-ANSWER_TIMEOUT_S = 60
+RESPONSE_TIMEOUT_S = 60
 MAX_REDIRECTS = 3
 URL_SCHEMES = ("http://", "https://")
 FIRST_FAILURE_STATUS = 300
@@ -48,28 +48,28 @@
 
 
 def send(server: str, call: HttpCall) -> urllib3.BaseHTTPResponse:
-    """Send a call, without retries, and return a successful answer.
+    """Send a call, without retries, and return a successful response.
 
     :param server: URL of the interface to call.
-    :raises CommandError: if the URL is invalid, no answer comes, or the
-        answer has a status of 300 or higher.
+    :raises CommandError: if the URL is invalid, no response comes, or
+        the response has a status of 300 or higher.
     """
-    answer = _send_once(server, call)
-    if answer.status >= FIRST_FAILURE_STATUS:
-        raise _failure_answer_error(answer)
-    return answer
+    response = _send_once(server, call)
+    if response.status >= FIRST_FAILURE_STATUS:
+        raise _error_response_error(response)
+    return response
 
 
-def decode_json(answer: urllib3.BaseHTTPResponse) -> Any:
-    """Return the decoded JSON body of an answer.
+def decode_json(response: urllib3.BaseHTTPResponse) -> Any:
+    """Return the decoded JSON body of a response.
 
-    :raises CommandError: if the answer is not JSON.
+    :raises CommandError: if the response is not JSON.
     """
     try:
-        return orjson.loads(answer.data)
+        return orjson.loads(response.data)
     except orjson.JSONDecodeError as error:
         raise CommandError(
-            f"the server's answer is not JSON: {error}; is this the address "
+            f"the server's response is not JSON: {error}; is this the address "
             f"of a magnoliapitch instance?",
             ExitCode.FAILED,
         ) from error
@@ -93,7 +93,7 @@
             server.rstrip("/") + call.path,
             body=call.body,
             headers=dict(call.headers or {}),
-            timeout=ANSWER_TIMEOUT_S,
+            timeout=RESPONSE_TIMEOUT_S,
             retries=retries,
         )
     except urllib3.exceptions.LocationValueError as error:
@@ -128,20 +128,20 @@
             f"cannot reach {server}: {reason}", ExitCode.UNREACHABLE
         )
     return CommandError(
-        f"no complete answer from {server}: {reason}; "
+        f"no complete response from {server}: {reason}; "
         f"the request may have run",
         ExitCode.MAY_HAVE_RUN,
     )
 
 
-def _failure_answer_error(answer: urllib3.BaseHTTPResponse) -> CommandError:
+def _error_response_error(response: urllib3.BaseHTTPResponse) -> CommandError:
     try:
-        problem = orjson.loads(answer.data)
+        problem = orjson.loads(response.data)
         verdict = Verdict(problem["verdict"])
         text = f"{problem['title']}: {problem['detail']}"
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
         return CommandError(
-            f"the server answered {answer.status} {answer.reason}",
+            f"the server responded with {response.status} {response.reason}",
             ExitCode.FAILED,
         )
     exit_code = ExitCode.FAILED
--- a/src/magnoliapitch/console/request.py
+++ b/src/magnoliapitch/console/request.py
@@ -23,12 +23,12 @@
     idempotency_key: str | None = None,
     server: CallerUrlOption = DEFAULT_CALLER_URL,
 ) -> None:
-    """Send a request and print the body of its answer.
+    """Send a request and print the body of the response.
 
     :param entry: name of the catalogue entry that the request belongs to.
     :param body: request body as text.
     :param file: file with the request body; takes precedence over body.
-    :param request_id: id of the request, which the answer repeats.
+    :param request_id: id of the request, which the response repeats.
     :param idempotency_key: key with which the request runs at most once,
         however often it is sent.
     :param server: URL of the instance's caller interface.
@@ -40,8 +40,8 @@
         headers["Idempotency-Key"] = idempotency_key
     content = body.encode() if file is None else _read_body(file)
     call = HttpCall("POST", f"/v1/requests/{entry}", content, headers)
-    answer = send(server, call)
-    sys.stdout.buffer.write(answer.data)
+    response = send(server, call)
+    sys.stdout.buffer.write(response.data)
     sys.stdout.buffer.write(b"\n")
     sys.stdout.buffer.flush()
 
--- a/src/magnoliapitch/spec/claim.py
+++ b/src/magnoliapitch/spec/claim.py
@@ -139,6 +139,7 @@
     def _worker_call_steps(
         self, state: State, owner_index: int, worker_index: int
     ) -> Iterator[Transition]:
+        """Yield what an owner may do after it has read one worker's state."""
         worker = state.workers[worker_index]
         owner = self._apply_view(state, owner_index, worker_index)
         seen_state = _with_owner(state, owner_index, owner)
@@ -186,6 +187,7 @@
     def _can_grant(
         self, owner: Owner, worker: Worker, view: OwnerView
     ) -> bool:
+        """Return whether the owner may grant a task lease on a worker."""
         if owner.attempt is not None or not owner.may_attempt or worker.tasks:
             return False
         if not self._bounds.is_same_task or owner.epoch == 1:
@@ -212,6 +214,7 @@
     def _apply_view(
         self, state: State, owner_index: int, worker_index: int
     ) -> Owner:
+        """Return the owner after it has read a worker's state."""
         worker = state.workers[worker_index]
         owner = state.owners[owner_index]
         view = self._apply_claim_view(state, owner_index, worker_index)
@@ -228,6 +231,7 @@
     def _must_adopt(
         self, state: State, owner_index: int, worker: Worker
     ) -> bool:
+        """Return whether the owner takes a listed task as its own attempt."""
         if (
             not self._bounds.is_same_task
             or not self._guards.adopts_listed_tasks
@@ -240,6 +244,12 @@
     def _apply_claim_view(
         self, state: State, owner_index: int, worker_index: int
     ) -> OwnerView:
+        """Return what the owner remembers after it has read a worker.
+
+        A new owner settles once it has waited for one TTL after its claim
+        lease: by then every task lease of an earlier owner is listed or
+        has expired.
+        """
         worker = state.workers[worker_index]
         owner = state.owners[owner_index]
         view = owner.views[worker_index]
@@ -266,6 +276,7 @@
     def _apply_attempt_view(
         self, attempt: Attempt, worker: Worker, owner_index: int
     ) -> Attempt | None:
+        """Return the attempt after a read of its worker, None if it ended."""
         if attempt.boot != worker.boot:
             return None
         owners = {lease.owner for lease in worker.tasks}
@@ -305,6 +316,11 @@
     def _with_worker(
         self, state: State, worker_index: int, worker: Worker
     ) -> State:
+        """Return the state with one worker replaced.
+
+        Messages that the worker would ignore are removed, which keeps the
+        number of states small.
+        """
         workers = list(state.workers)
         workers[worker_index] = worker
         messages = state.messages
@@ -367,6 +383,7 @@
 def _lists_higher_epoch(
     state: State, owner_index: int, worker: Worker
 ) -> bool:
+    """Return whether a worker lists a lease of a higher epoch."""
     epoch = state.owners[owner_index].epoch
     return any(
         state.owners[lease.owner].epoch > epoch
--- a/src/magnoliapitch/spec/fold.py
+++ b/src/magnoliapitch/spec/fold.py
@@ -290,6 +290,7 @@
     def _loadable_states(
         self, world: World, state: FoldedState
     ) -> Iterator[FoldedState]:
+        """Yield the states that an instance may load from snapshots."""
         for record in world.log[world.oldest_offset :]:
             if record.snapshot is None:
                 continue
@@ -367,6 +368,7 @@
 
 
 def _with_instance(world: World, index: int, instance: Instance) -> World:
+    """Return the state of the model with one instance replaced."""
     highest_known_offset = max(
         instance.highest_known_offset, instance.state.offset
     )
@@ -378,6 +380,7 @@
 
 
 def _deliver_heartbeat(world: World, index: int) -> World:
+    """Report the offset of one instance to the other."""
     sender = world.instances[index]
     receiver = world.instances[1 - index]
     highest_known_offset = max(
--- a/src/magnoliapitch/spec/ticket.py
+++ b/src/magnoliapitch/spec/ticket.py
@@ -172,6 +172,7 @@
 
 
 def _route_to_holder(state: State, index: int, mutant: Mutant | None) -> State:
+    """Make the holder ready to dispatch if it is alive and idle."""
     holder = state.log[0]
     if mutant is Mutant.NO_HOLDER_CHECK:
         holder = index
@@ -201,6 +202,7 @@
 
 
 def _dispatch(state: State, index: int, mutant: Mutant | None) -> State:
+    """Run the request unless the instance has dispatched it before."""
     if state.instances[index].has_dispatched:
         return state.with_instance(index, phase=Phase.IDLE)
     has_dispatched = mutant is not Mutant.USED_FORGOTTEN
--- a/tests/console/test_commands.py
+++ b/tests/console/test_commands.py
@@ -59,11 +59,11 @@
     wait_until(
         lambda: run("request", "seat-check", *body, *caller).exit_code == 0
     )
-    answer = run("request", "seat-check", *body, *caller)
-    assert orjson.loads(answer.out)["echo"] == "w"
-    raced = run("catalogue", "delete", "fee-close", "--version", 9, *admin)
-    assert raced.exit_code == 1
-    assert "If-Match: found version 9; current is 1 [not_run]" in raced.err
+    response = run("request", "seat-check", *body, *caller)
+    assert orjson.loads(response.out)["echo"] == "w"
+    conflict = run("catalogue", "delete", "fee-close", "--version", 9, *admin)
+    assert conflict.exit_code == 1
+    assert "If-Match: found version 9; current is 1 [not_run]" in conflict.err
     deleted = run("catalogue", "delete", "fee-close", "--version", 1, *admin)
     assert deleted.out == "fee-close: deleted\n"
     unknown = run("catalogue", "get", "fee-close", *admin)
@@ -121,7 +121,7 @@
     assert "Traceback" not in outcome.err
 
 
-def test_lost_answer_says_that_the_request_may_have_run(run: Run) -> None:
+def test_lost_response_says_that_the_request_may_have_run(run: Run) -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
 
         def accept_and_close() -> None:
