--- a/src/magnoliapitch/capacity/requirement_rows.py
+++ b/src/magnoliapitch/capacity/requirement_rows.py
@@ -58,9 +58,12 @@
     return function
 
 
-def format_headroom(limit: float, measured: float) -> str:
-    """Return the limit divided by a figure; mark a limit that is exceeded."""
-    factor = limit / measured
+def format_headroom(limit: float, figure: float) -> str:
+    """Return the limit divided by a figure, as text.
+
+    A limit that is exceeded, with a ratio below 1, is marked as passed.
+    """
+    factor = limit / figure
     return f"{factor:.1f}x" if factor >= 1 else f"passed ({factor:.2f}x)"
 
 
--- a/src/magnoliapitch/console/client.py
+++ b/src/magnoliapitch/console/client.py
@@ -48,7 +48,9 @@
 
 
 def send(server: str, call: HttpCall) -> urllib3.BaseHTTPResponse:
-    """Send a call, without retries, and return a successful response.
+    """Send a call and return its response if it is successful.
+
+    The call is not retried; redirects are followed.
 
     :param server: URL of the interface to call.
     :raises CommandError: if the URL is invalid, no response comes, or
@@ -56,7 +58,7 @@
     """
     response = _send_once(server, call)
     if response.status >= FIRST_FAILURE_STATUS:
-        raise _error_response_error(response)
+        raise _error_from_response(response)
     return response
 
 
@@ -77,7 +79,7 @@
 
 def _send_once(server: str, call: HttpCall) -> urllib3.BaseHTTPResponse:
     if not server.startswith(URL_SCHEMES):
-        raise _invalid_url_error(server)
+        raise _error_for_invalid_url(server)
     retries = urllib3.Retry(
         total=None,
         connect=0,
@@ -97,19 +99,19 @@
             retries=retries,
         )
     except urllib3.exceptions.LocationValueError as error:
-        raise _invalid_url_error(server) from error
+        raise _error_for_invalid_url(server) from error
     except urllib3.exceptions.HTTPError as error:
-        raise _connection_error(server, error) from error
+        raise _error_from_connection(server, error) from error
 
 
-def _invalid_url_error(server: str) -> CommandError:
+def _error_for_invalid_url(server: str) -> CommandError:
     message = (
         f"server address {server!r} is not a URL such as {DEFAULT_ADMIN_URL}"
     )
     return CommandError(message, ExitCode.USAGE)
 
 
-def _connection_error(
+def _error_from_connection(
     server: str, error: urllib3.exceptions.HTTPError
 ) -> CommandError:
     cause: Exception = error
@@ -134,7 +136,7 @@
     )
 
 
-def _error_response_error(response: urllib3.BaseHTTPResponse) -> CommandError:
+def _error_from_response(response: urllib3.BaseHTTPResponse) -> CommandError:
     try:
         problem = orjson.loads(response.data)
         verdict = Verdict(problem["verdict"])
--- a/src/magnoliapitch/spec/claim_state.py
+++ b/src/magnoliapitch/spec/claim_state.py
@@ -17,8 +17,8 @@
 class Guards(NamedTuple):
     """Checks of the protocol.
 
-    Tests switch off one or two and expect the model checker to find a
-    violation.
+    The tests switch off one or two at a time and expect the model checker to
+    find a violation.
 
     :param stops_on_higher_epoch: an owner sends nothing to a worker that
         lists a lease of an owner with a higher epoch.
