--- a/src/magnoliapitch/advice/__init__.py
+++ b/src/magnoliapitch/advice/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from magnoliapitch.advice.lanes import LanePool
+from magnoliapitch.advice.channels import LanePool
 from magnoliapitch.advice.service import PeerAdvisor
 from magnoliapitch.advice.service import peer_application
 
--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -29,9 +29,9 @@
     from magnoliapitch.control.events import WorkerReported
     from magnoliapitch.control.events import WorkersListed
     from magnoliapitch.control.timing import ControlTiming
+    from magnoliapitch.ledger.job_table import Replica
+    from magnoliapitch.ledger.job_table import StoredJob
     from magnoliapitch.ledger.records import LeaderRecord
-    from magnoliapitch.ledger.replica import Replica
-    from magnoliapitch.ledger.replica import StoredJob
     from magnoliapitch.ledger.state_table import StateTable
     from magnoliapitch.metric import Metrics
     from magnoliapitch.planner.plan import PlannedPermitRequest
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -13,8 +13,8 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.advice.lanes import Lane
-from magnoliapitch.advice.lanes import LanePool
+from magnoliapitch.advice.channels import Lane
+from magnoliapitch.advice.channels import LanePool
 from magnoliapitch.control.controller import Controller
 from magnoliapitch.control.events import Committed
 from magnoliapitch.control.events import ConfigurationChanged
@@ -42,7 +42,7 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.control.timing import ControlTiming
-    from magnoliapitch.ledger.archive import Archive
+    from magnoliapitch.ledger.job_follower import Archive
     from magnoliapitch.ledger.leadership import Batch
     from magnoliapitch.ledger.leadership import Leadership
     from magnoliapitch.ledger.state_table import StateTable
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -26,9 +26,9 @@
 from magnoliapitch.http import HttpResponse
 from magnoliapitch.http import Listener
 from magnoliapitch.http.client import HttpClient
-from magnoliapitch.ledger.archive import Archive
-from magnoliapitch.ledger.desk import JobDesk
 from magnoliapitch.ledger.health import StoreHealth
+from magnoliapitch.ledger.job_api import JobDesk
+from magnoliapitch.ledger.job_follower import Archive
 from magnoliapitch.ledger.leadership import Leadership
 from magnoliapitch.ledger.members import Members
 from magnoliapitch.ledger.records import JOB_STREAM
--- a/src/magnoliapitch/ledger/archive.py
+++ b/src/magnoliapitch/ledger/job_follower.py
@@ -8,12 +8,12 @@
 from result import Ok
 from result import Result
 
+from magnoliapitch.ledger.job_table import Replica
 from magnoliapitch.ledger.mirror import StreamMirror
 from magnoliapitch.ledger.records import CANCEL_PREFIX
 from magnoliapitch.ledger.records import JOB_PREFIX
 from magnoliapitch.ledger.records import JOB_STREAM
 from magnoliapitch.ledger.records import PROGRESS_STREAM
-from magnoliapitch.ledger.replica import Replica
 from magnoliapitch.ledger.stream import KeyedRecord
 
 
--- a/src/magnoliapitch/platform/__init__.py
+++ b/src/magnoliapitch/platform/__init__.py
@@ -7,7 +7,7 @@
 
 from magnoliapitch.platform.advisor import PlatformAdvisor
 from magnoliapitch.platform.directory import PlatformDirectory
-from magnoliapitch.platform.front import front_application
+from magnoliapitch.platform.job_application import front_application
 from magnoliapitch.platform.store import PlatformStore
 from magnoliapitch.platform.workers import PlatformWorkers
 
--- a/src/magnoliapitch/platform/front.py
+++ b/src/magnoliapitch/platform/job_application.py
@@ -24,7 +24,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.ledger.desk import JobDesk
+    from magnoliapitch.ledger.job_api import JobDesk
     from magnoliapitch.workload.configuration import Queue
 
 
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -15,12 +15,12 @@
 from magnoliapitch.control.controller import Controller
 from magnoliapitch.control.events import WorkersListed
 from magnoliapitch.control.timing import ControlTiming
+from magnoliapitch.ledger.job_table import Replica
 from magnoliapitch.ledger.records import CANCEL_PREFIX
 from magnoliapitch.ledger.records import CANCELLED
 from magnoliapitch.ledger.records import JOB_PREFIX
 from magnoliapitch.ledger.records import LeaderRecord
 from magnoliapitch.ledger.records import encode_job
-from magnoliapitch.ledger.replica import Replica
 from magnoliapitch.ledger.state_table import FINAL_STATES
 from magnoliapitch.ledger.state_table import JobState
 from magnoliapitch.ledger.state_table import StateTable
--- a/tests/ledger/test_desk.py
+++ b/tests/ledger/test_job_api.py
@@ -6,7 +6,7 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.ledger.desk import JobDesk
+from magnoliapitch.ledger.job_api import JobDesk
 from magnoliapitch.ledger.state_table import JobState
 from magnoliapitch.ledger.state_table import ShownJob
 from magnoliapitch.ledger.state_table import StateTable
