--- a/src/magnoliapitch/adapter/__init__.py
+++ b/src/magnoliapitch/adapter/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of the adapters to outside systems by the scheme of a URL."""
+"""Adapters to outside systems, chosen by the scheme of a URL."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/adapter/registry.py
+++ b/src/magnoliapitch/adapter/registry.py
@@ -1,4 +1,7 @@
-"""Registries of adapters to the log service and the instance list."""
+"""Registries of adapters to the log service and the instance list.
+
+An adapter registers itself for a URL scheme when its module is imported.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,10 @@
 
 
 def log_adapter(scheme: str) -> Callable[[LogFactory], LogFactory]:
-    """Register a factory of log adapters for a URL scheme."""
+    """Return a decorator that registers a log factory for a URL scheme.
+
+    The factory takes the whole URL.
+    """
 
     def register(factory: LogFactory) -> LogFactory:
         _log_factories_by_scheme[scheme] = factory
@@ -29,7 +35,12 @@
 def instance_list_adapter(
     scheme: str,
 ) -> Callable[[InstanceListFactory], InstanceListFactory]:
-    """Register a factory of instance-list adapters for a URL scheme."""
+    """Return a decorator that registers an instance-list factory.
+
+    The factory takes the whole URL.
+
+    :param scheme: URL scheme that the factory serves.
+    """
 
     def register(factory: InstanceListFactory) -> InstanceListFactory:
         _list_factories_by_scheme[scheme] = factory
@@ -41,7 +52,7 @@
 def make_log(url: str) -> PlatformLog:
     """Build the log adapter for a URL.
 
-    :raises UnknownAdapterError: if no adapter serves the URL's scheme.
+    :raises UnknownAdapterError: if no adapter is registered for the scheme.
     """
     scheme = url.partition(":")[0]
     factory = _log_factories_by_scheme.get(scheme)
@@ -53,7 +64,7 @@
 def make_instance_list(url: str) -> InstanceList:
     """Build the instance-list adapter for a URL.
 
-    :raises UnknownAdapterError: if no adapter serves the URL's scheme.
+    :raises UnknownAdapterError: if no adapter is registered for the scheme.
     """
     scheme = url.partition(":")[0]
     factory = _list_factories_by_scheme.get(scheme)
--- a/src/magnoliapitch/advice/channels.py
+++ b/src/magnoliapitch/advice/channels.py
@@ -1,4 +1,8 @@
-"""Distributes calls to the advisor over the instances."""
+"""Distribution of advisor calls over the instances.
+
+The advisor takes one call at a time from each instance, so an instance that
+needs several calls at once relays some of them through its peers.
+"""
 
 from __future__ import annotations
 
@@ -24,85 +28,119 @@
     from magnoliapitch.workload.run import Permit
 
 
-# Longer calls are left to other instances while there are any, so that
-# short ones never wait behind them.
-SHORT_CALL_MS = 40.0
-# A lane that failed is tried again after this time.
-REST_MS = 2_000
+# Longer calls go through other instances while there are any, so that short
+# calls of this instance never wait behind them.
+MAX_SHORT_CALL_MS = 40.0
+# Time without calls through a peer after a call through it has failed.
+FAILURE_BACKOFF_MS = 2_000
+
 
+class AdvisorChannel:
+    """Advisor calls through one instance, at most one at a time.
 
-class Lane:
-    """One instance that asks, one call at a time."""
+    :param name: ``own`` for this instance, otherwise the address of a peer.
+    :ivar retry_at_ms: time from which the channel may be used again after
+        a failed call.
+    """
 
     def __init__(self, name: str, advisor: Advisor) -> None:
         self.name = name
         self.advisor = advisor
         self.is_busy = False
-        self.rests_until_ms = 0
+        self.retry_at_ms = 0
 
 
-class LanePool:
-    """Chooses an idle lane for each call; safe to share.
+class AdvisorChannelPool:
+    """Chooses an idle channel for each advisor call; thread-safe.
 
-    :param own: the advisor as this instance calls it.
+    :param local_advisor: client with which this instance itself calls the
+        advisor.
     """
 
-    def __init__(self, own: Advisor, client: HttpClient, clock: Clock) -> None:
-        self._own = Lane("own", own)
+    def __init__(
+        self, local_advisor: Advisor, client: HttpClient, clock: Clock
+    ) -> None:
+        self._local_channel = AdvisorChannel("own", local_advisor)
         self._client = client
         self._clock = clock
         self._lock = threading.Lock()
-        self._peer_lanes_by_address: dict[str, Lane] = {}
+        self._peer_channels_by_address: dict[str, AdvisorChannel] = {}
 
     def set_peers(self, addresses_by_id: Mapping[str, str]) -> None:
-        """Use these instances, and no others, besides this one."""
+        """Replace the peers through which the advisor can be called.
+
+        :param addresses_by_id: ``IP:PORT`` of each peer by instance id.
+        """
         with self._lock:
-            wanted = set(addresses_by_id.values())
-            for address in wanted - set(self._peer_lanes_by_address):
+            addresses = set(addresses_by_id.values())
+            for address in addresses - set(self._peer_channels_by_address):
                 advisor = PeerAdvisor(address, self._client)
-                self._peer_lanes_by_address[address] = Lane(address, advisor)
-            for address in set(self._peer_lanes_by_address) - wanted:
-                del self._peer_lanes_by_address[address]
+                self._peer_channels_by_address[address] = AdvisorChannel(
+                    address, advisor
+                )
+            for address in set(self._peer_channels_by_address) - addresses:
+                del self._peer_channels_by_address[address]
 
-    def reserve(self, ask: PlannedPermitRequest) -> Lane | None:
-        """Return an idle lane for a call, busy from now on, or None."""
+    def reserve(self, request: PlannedPermitRequest) -> AdvisorChannel | None:
+        """Reserve an idle channel for a call.
+
+        :return: the channel, marked as busy, or None if none is idle.
+        """
         now_ms = self._clock.now_ms()
         with self._lock:
-            for lane in self._preferred(ask, now_ms):
-                if not lane.is_busy:
-                    lane.is_busy = True
-                    return lane
+            for channel in self._usable_channels(request, now_ms):
+                if not channel.is_busy:
+                    channel.is_busy = True
+                    return channel
         return None
 
-    def idle(self) -> int:
-        """Return the number of lanes that could be reserved now."""
+    def idle_count(self) -> int:
+        """Return the number of channels that can be reserved now."""
         now_ms = self._clock.now_ms()
         with self._lock:
-            lanes = [self._own, *self._peer_lanes_by_address.values()]
+            channels = [
+                self._local_channel,
+                *self._peer_channels_by_address.values(),
+            ]
             return sum(
-                not lane.is_busy and now_ms >= lane.rests_until_ms
-                for lane in lanes
+                not channel.is_busy and now_ms >= channel.retry_at_ms
+                for channel in channels
             )
 
     def call(
-        self, lane: Lane, ask: PlannedPermitRequest, timeout_ms: int
+        self,
+        channel: AdvisorChannel,
+        request: PlannedPermitRequest,
+        timeout_ms: int,
     ) -> Result[tuple[Permit, ...], Failure]:
-        """Ask through a reserved lane, and free it."""
-        outcome = lane.advisor.permits(ask.step, ask.worker_ids, timeout_ms)
+        """Request permits through a reserved channel, then release it.
+
+        After a failure, the channel of a peer is not used for
+        ``FAILURE_BACKOFF_MS``.
+
+        :param timeout_ms: how long the call may take.
+        """
+        outcome = channel.advisor.permits(
+            request.step, request.worker_ids, timeout_ms
+        )
         with self._lock:
-            lane.is_busy = False
-            if isinstance(outcome, Err) and lane is not self._own:
-                lane.rests_until_ms = self._clock.now_ms() + REST_MS
+            channel.is_busy = False
+            if isinstance(outcome, Err) and channel is not self._local_channel:
+                channel.retry_at_ms = self._clock.now_ms() + FAILURE_BACKOFF_MS
                 reason = outcome.err_value.detail
-                log_event("advice-lane-rests", lane=lane.name, reason=reason)
+                log_event(
+                    "advice-lane-rests", lane=channel.name, reason=reason
+                )
         return outcome
 
-    def _preferred(self, ask: PlannedPermitRequest, now_ms: int) -> list[Lane]:
+    def _usable_channels(
+        self, request: PlannedPermitRequest, now_ms: int
+    ) -> list[AdvisorChannel]:
         peers = [
-            lane
-            for lane in self._peer_lanes_by_address.values()
-            if now_ms >= lane.rests_until_ms
+            channel
+            for channel in self._peer_channels_by_address.values()
+            if now_ms >= channel.retry_at_ms
         ]
-        if ask.expected_call_ms <= SHORT_CALL_MS:
-            return [self._own, *peers]
-        return peers or [self._own]
+        if request.expected_call_ms <= MAX_SHORT_CALL_MS:
+            return [self._local_channel, *peers]
+        return peers or [self._local_channel]
--- a/src/magnoliapitch/advice/service.py
+++ b/src/magnoliapitch/advice/service.py
@@ -1,7 +1,7 @@
-"""Asks the advisor on behalf of another instance.
+"""Relay of advisor calls between instances over HTTP.
 
-The advisor serves one call at a time for each instance that calls it, so
-an instance that needs many permits has others ask for some of them.
+The advisor takes one call at a time from each instance, so an instance that
+needs many permits has other instances request some of them.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 
 
 class PermitsRequest(NamedTuple):
-    """Body of a call.
+    """Body of a relayed advisor call.
 
-    :param timeout_ms: how long the advisor may take.
+    :param timeout_ms: how long the relaying instance waits for the advisor.
     """
 
     step: StepKey
@@ -51,31 +51,36 @@
     timeout_ms: int
 
 
-_REQUEST: TypeAdapter[PermitsRequest] = TypeAdapter(PermitsRequest)
-_PERMITS: TypeAdapter[tuple[Permit, ...]] = TypeAdapter(tuple[Permit, ...])
+_REQUEST_ADAPTER: TypeAdapter[PermitsRequest] = TypeAdapter(PermitsRequest)
+_PERMITS_ADAPTER: TypeAdapter[tuple[Permit, ...]] = TypeAdapter(
+    tuple[Permit, ...]
+)
 
 
 def peer_application(advisor: Advisor) -> Application:
-    """Return the application that other instances call."""
+    """Build the HTTP application that relays advisor calls of peers.
+
+    :param advisor: client with which this instance calls the advisor.
+    """
     application = Application(BODY_MAX_BYTES)
 
     @application.route("POST", PERMITS_PATH)
-    def ask(request: HttpRequest) -> HttpResponse:
+    def answer_permits(request: HttpRequest) -> HttpResponse:
         try:
-            wanted = _REQUEST.validate_json(request.body)
+            permits_request = _REQUEST_ADAPTER.validate_json(request.body)
         except ValidationError as error:
             failure = not_run(FailureCode.INVALID, str(error.errors()[0]))
             return problem_response(failure, request.request_id)
-        outcome = advisor.permits(*wanted)
+        outcome = advisor.permits(*permits_request)
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value, request.request_id)
-        return HttpResponse(200, _PERMITS.dump_json(outcome.ok_value))
+        return HttpResponse(200, _PERMITS_ADAPTER.dump_json(outcome.ok_value))
 
     return application
 
 
 class PeerAdvisor:
-    """The advisor, asked by another instance.
+    """Client that calls the advisor through another instance.
 
     :param address: ``IP:PORT`` of the other instance.
     """
@@ -87,20 +92,23 @@
     def permits(
         self, step: StepKey, worker_ids: Sequence[str], timeout_ms: int
     ) -> Result[tuple[Permit, ...], Failure]:
-        """Return the permits among the given workers."""
-        wanted = PermitsRequest(step, tuple(worker_ids), timeout_ms)
-        body = _REQUEST.dump_json(wanted)
+        """Return permits for those of the workers that may run the step.
+
+        :param timeout_ms: how long the other instance may take to answer.
+        """
+        permits_request = PermitsRequest(step, tuple(worker_ids), timeout_ms)
+        body = _REQUEST_ADAPTER.dump_json(permits_request)
         reply = self._client.exchange(
             "POST", self._url, timeout_ms, body, JSON_HEADERS
         )
-        return reply.and_then(_permits_from)
+        return reply.and_then(_decode_permits)
 
 
-def _permits_from(reply: HttpReply) -> Result[tuple[Permit, ...], Failure]:
+def _decode_permits(reply: HttpReply) -> Result[tuple[Permit, ...], Failure]:
     if reply.status != 200:
-        detail = f"the other instance answered {reply.status}"
+        detail = f"the relaying instance answered with status {reply.status}"
         return Err(not_run(FailureCode.UNAVAILABLE, detail))
     try:
-        return Ok(_PERMITS.validate_json(reply.data))
+        return Ok(_PERMITS_ADAPTER.validate_json(reply.data))
     except ValidationError as error:
         return Err(may_have_run(FailureCode.BAD_ANSWER, str(error)))
--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -29,7 +29,7 @@
     from magnoliapitch.control.events import WorkerReported
     from magnoliapitch.control.events import WorkersListed
     from magnoliapitch.control.timing import ControlTiming
-    from magnoliapitch.ledger.job_table import Replica
+    from magnoliapitch.ledger.job_table import JobTable
     from magnoliapitch.ledger.job_table import StoredJob
     from magnoliapitch.ledger.records import LeaderRecord
     from magnoliapitch.ledger.state_table import StateTable
@@ -67,7 +67,7 @@
         leader: LeaderRecord,
         claimed_ms: int,
         timing: ControlTiming,
-        replica: Replica,
+        replica: JobTable,
         state_table: StateTable,
         effects: Effects,
         configuration: Callable[[], Configuration | None],
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -13,8 +13,8 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.advice.channels import Lane
-from magnoliapitch.advice.channels import LanePool
+from magnoliapitch.advice.channels import AdvisorChannel
+from magnoliapitch.advice.channels import AdvisorChannelPool
 from magnoliapitch.control.controller import Controller
 from magnoliapitch.control.events import Committed
 from magnoliapitch.control.events import ConfigurationChanged
@@ -42,7 +42,7 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.control.timing import ControlTiming
-    from magnoliapitch.ledger.job_follower import Archive
+    from magnoliapitch.ledger.job_follower import JobFollower
     from magnoliapitch.ledger.leadership import Batch
     from magnoliapitch.ledger.leadership import Leadership
     from magnoliapitch.ledger.state_table import StateTable
@@ -73,7 +73,7 @@
     """
 
     workers: WorkerClient
-    lanes: LanePool
+    lanes: AdvisorChannelPool
     members: Members
     directory: Directory
 
@@ -95,7 +95,9 @@
         timing: ControlTiming,
         clock: Clock,
         configuration: Callable[[], Configuration | None],
-        open_archive: Callable[[Callable[[frozenset[str]], None]], Archive],
+        open_archive: Callable[
+            [Callable[[frozenset[str]], None]], JobFollower
+        ],
         metrics: Metrics,
     ) -> None:
         self._leadership = leadership
@@ -106,7 +108,7 @@
         self._configuration = configuration
         self._open_archive = open_archive
         self._metrics = metrics
-        self._archive: Archive | None = None
+        self._archive: JobFollower | None = None
         self._job_ids_to_delete: set[str] = set()
         self._events: queue.SimpleQueue[Event] = queue.SimpleQueue()
         self._renewer_by_worker: dict[str, LeaseRenewer] = {}
@@ -150,7 +152,7 @@
         if claim is None or self._is_stopping:
             return None
         archive = self._open_archive(lambda ids: self.post(JobsChanged(ids)))
-        for prepare in (self._leadership.fence, archive.load):
+        for prepare in (self._leadership.fence_former_leaders, archive.load):
             outcome = prepare()
             if isinstance(outcome, Err):
                 self._handle_unprepared(outcome.err_value)
@@ -161,7 +163,7 @@
             claim.record,
             claim.stored_ms,
             self._timing,
-            archive.replica,
+            archive.job_table,
             self._state_table,
             self,
             self._configuration,
@@ -245,7 +247,7 @@
         if archive is None or not self._job_ids_to_delete:
             return
         job_ids = sorted(self._job_ids_to_delete)[:MAX_JOBS_PER_DELETION]
-        if not isinstance(archive.forget(job_ids), Err):
+        if not isinstance(archive.delete_jobs(job_ids), Err):
             self._job_ids_to_delete.difference_update(job_ids)
 
     def _refresh_now(self) -> None:
@@ -326,7 +328,7 @@
 
     def available_advisor_calls(self) -> int:
         """Return the number of advisor calls that can be started now."""
-        return self._clients.lanes.idle()
+        return self._clients.lanes.idle_count()
 
     def _commit_now(self, batch: Batch) -> None:
         outcome: Result[int, Failure] = Err(_stopped())
@@ -340,7 +342,10 @@
         self.post(Committed(outcome, sent_ms))
 
     def _request_permits_now(
-        self, lane: Lane, request: PlannedPermitRequest, timeout_ms: int
+        self,
+        lane: AdvisorChannel,
+        request: PlannedPermitRequest,
+        timeout_ms: int,
     ) -> None:
         sent_ms = self._clock.now_ms()
         outcome = self._clients.lanes.call(lane, request, timeout_ms)
--- a/src/magnoliapitch/control/progress_batcher.py
+++ b/src/magnoliapitch/control/progress_batcher.py
@@ -12,7 +12,7 @@
 from magnoliapitch.ledger.records import encode_progress
 from magnoliapitch.ledger.state_table import FINAL_STATES
 from magnoliapitch.ledger.state_table import JobState
-from magnoliapitch.ledger.state_table import ShownJob
+from magnoliapitch.ledger.state_table import PublishedJob
 from magnoliapitch.ledger.stream import KeyedRecord
 from magnoliapitch.workload.progress import JobOutcome
 
@@ -61,7 +61,7 @@
         self._delete_jobs = delete_jobs
         self._published_ms = 0
         self._progress_in_commit_by_id: dict[str, JobProgress] = {}
-        self._states_in_commit_by_id: dict[str, ShownJob] = {}
+        self._states_in_commit_by_id: dict[str, PublishedJob] = {}
         # Jobs whose current state may differ from the published one.
         self._unpublished_job_ids: set[str] = set()
         # Jobs whose final progress is stored and that can be removed.
@@ -71,7 +71,7 @@
     def load(self, now_ms: int) -> None:
         """Start from the job states that former leaders published."""
         self._published_ms = now_ms
-        for job_id in self._state_table.ended_ids():
+        for job_id in self._state_table.ended_job_ids():
             self._ended_ms_by_job[job_id] = now_ms
 
     def has_ended(self, job_id: str) -> bool:
@@ -174,7 +174,7 @@
             job = self._state.jobs_by_id.get(job_id)
             if job is None:
                 continue
-            shown = ShownJob(_job_state(job), job.spec.queue)
+            shown = PublishedJob(_job_state(job), job.spec.queue)
             if self._state_table.get(job_id) != shown:
                 self._states_in_commit_by_id[job_id] = shown
         records = [
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -12,7 +12,7 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.advice import LanePool
+from magnoliapitch.advice import AdvisorChannelPool
 from magnoliapitch.advice import peer_application
 from magnoliapitch.clock import BootClock
 from magnoliapitch.control import ControlDriver
@@ -27,8 +27,8 @@
 from magnoliapitch.http import Listener
 from magnoliapitch.http.client import HttpClient
 from magnoliapitch.ledger.health import StoreHealth
-from magnoliapitch.ledger.job_api import JobDesk
-from magnoliapitch.ledger.job_follower import Archive
+from magnoliapitch.ledger.job_api import JobApi
+from magnoliapitch.ledger.job_follower import JobFollower
 from magnoliapitch.ledger.leadership import Leadership
 from magnoliapitch.ledger.members import Members
 from magnoliapitch.ledger.records import JOB_STREAM
@@ -41,7 +41,7 @@
 from magnoliapitch.platform import PlatformDirectory
 from magnoliapitch.platform import PlatformStore
 from magnoliapitch.platform import PlatformWorkers
-from magnoliapitch.platform import front_application
+from magnoliapitch.platform import job_application
 from magnoliapitch.supervisor import Loop
 from magnoliapitch.supervisor import Supervisor
 
@@ -107,7 +107,7 @@
         self._submitter = Submitter(
             store, JOB_STREAM, producer, self._clock, self._health
         )
-        self._desk = JobDesk(
+        self._desk = JobApi(
             self._states,
             self._submitter,
             self._refresh,
@@ -126,7 +126,7 @@
             self._states,
             Clients(
                 PlatformWorkers(client),
-                LanePool(self._advisor, client, self._clock),
+                AdvisorChannelPool(self._advisor, client, self._clock),
                 self._members,
                 PlatformDirectory(store),
             ),
@@ -136,7 +136,7 @@
             ),
             self._clock,
             self._desk.configuration,
-            lambda post: Archive(store, self._clock, self._health, post),
+            lambda post: JobFollower(store, self._clock, self._health, post),
             self._metrics,
         )
         self._tree = Supervisor(
@@ -216,7 +216,7 @@
             Listener(
                 "callers",
                 _address(listen.callers),
-                front_application(self._desk, BODY_MAX_BYTES),
+                job_application(self._desk, BODY_MAX_BYTES),
                 CALLER_THREADS,
                 STOP_TIMEOUT_S,
                 HttpLimits(body_max_bytes=BODY_MAX_BYTES),
--- a/src/magnoliapitch/ledger/__init__.py
+++ b/src/magnoliapitch/ledger/__init__.py
@@ -1,3 +1,6 @@
-"""The jobs and their progress, stored in keyed streams."""
+"""Stored jobs, their progress and states, and the election of the leader.
+
+Everything is kept in streams of keyed records in a shared store.
+"""
 
 from __future__ import annotations
--- a/src/magnoliapitch/ledger/health.py
+++ b/src/magnoliapitch/ledger/health.py
@@ -1,4 +1,4 @@
-"""Whether the store answers, as the calls of this instance show."""
+"""Availability of the store, derived from this instance's calls."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from magnoliapitch.verdict import Failure
 
 
-# Shorter failures are retried without being told to callers.
+# Shorter outages are hidden from callers: calls are retried meanwhile.
 DOWN_AFTER_MS = 700
 
-_AWAY_CODES = (
+_OUTAGE_CODES = (
     FailureCode.UNAVAILABLE,
     FailureCode.TIMEOUT,
     FailureCode.OVERLOADED,
@@ -27,9 +27,10 @@
 
 
 class StoreHealth:
-    """Knows since when calls to the store have failed.
+    """Tracks since when calls to the store have been failing.
 
-    :ivar last_success_ms: when the newest call that succeeded was sent.
+    :ivar last_success_ms: time at which the latest successful call was sent,
+        or None before the first one.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -39,17 +40,27 @@
         self._failing_since_ms: int | None = None
 
     def note_success(self, sent_ms: int) -> None:
-        """Note that a call sent at a time was answered."""
+        """Record a successful call.
+
+        :param sent_ms: time at which the call was sent.
+        """
         with self._lock:
-            since, self._failing_since_ms = self._failing_since_ms, None
+            failing_since_ms, self._failing_since_ms = (
+                self._failing_since_ms,
+                None,
+            )
             self.last_success_ms = max(self.last_success_ms or 0, sent_ms)
-        if since is not None:
-            age_ms = self._clock.now_ms() - since
+        if failing_since_ms is not None:
+            age_ms = self._clock.now_ms() - failing_since_ms
             log_event("store-available", failed_ms=age_ms)
 
     def note_failure(self, failure: Failure) -> None:
-        """Note that a call was not answered or refused for now."""
-        if failure.code not in _AWAY_CODES:
+        """Record a failed call.
+
+        Only failures that show an outage count: no answer, an unreadable
+        answer or a temporary refusal.
+        """
+        if failure.code not in _OUTAGE_CODES:
             return
         with self._lock:
             is_first = self._failing_since_ms is None
@@ -59,8 +70,12 @@
             log_event("store-unavailable", reason=failure.detail)
 
     def is_down(self) -> bool:
-        """Return whether calls have failed for a while."""
-        since = self._failing_since_ms
-        if since is None:
+        """Return whether calls have failed for more than ``DOWN_AFTER_MS``.
+
+        Before the first call has succeeded or failed, the store counts as
+        down.
+        """
+        failing_since_ms = self._failing_since_ms
+        if failing_since_ms is None:
             return self.last_success_ms is None
-        return self._clock.now_ms() - since > DOWN_AFTER_MS
+        return self._clock.now_ms() - failing_since_ms > DOWN_AFTER_MS
--- a/src/magnoliapitch/ledger/job_api.py
+++ b/src/magnoliapitch/ledger/job_api.py
@@ -1,4 +1,4 @@
-"""What callers ask for: submission, state, cancellation, counts."""
+"""Operations on jobs that callers can request from any instance."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from magnoliapitch.ledger.records import encode_job
 from magnoliapitch.ledger.state_table import FINAL_STATES
 from magnoliapitch.ledger.state_table import JobState
-from magnoliapitch.ledger.state_table import ShownJob
+from magnoliapitch.ledger.state_table import PublishedJob
 from magnoliapitch.ledger.stream import KeyedRecord
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
@@ -34,70 +34,82 @@
     from magnoliapitch.workload.job import JobSpec
 
 
-# Time that is kept for the answer to reach the caller.
+# Part of the caller's timeout that is reserved for sending the answer.
 ANSWER_RESERVE_MS = 150
-RETRY_AFTER_MS = 1_000
-# The leader tells of a job shortly after it was stored.
-NEWS_PAUSES_MS = (150, 300)
-TAKEN_MAX_JOBS = 20_000
+STORE_RETRY_AFTER_MS = 1_000
+# Pauses before an unknown job is looked up again, since the leader publishes
+# the state of a new job only shortly after the job was stored.
+STATE_RETRY_DELAYS_MS = (150, 300)
+# Latest accepted jobs that are known here before the leader publishes them.
+MAX_REMEMBERED_JOBS = 20_000
 
 
-class JobDesk:
-    """Answers callers from the states and stores what they ask for.
+class JobApi:
+    """Submits and cancels jobs and returns their state.
 
-    :param refresh: reads the states to their end now; a failure means
-        that a job may be stored of which the leader has not told.
-    :param wait: waits for some milliseconds.
+    States come from the table of published states. Submissions and
+    cancellations are stored; the leader acts on them later.
+
+    :param refresh: reads the published states up to the newest one; after a
+        failure, a job that is missing in the table may still be stored.
+    :param wait: sleeps for a number of milliseconds.
     """
 
     def __init__(
         self,
-        states: StateTable,
+        state_table: StateTable,
         submitter: Submitter,
         refresh: Callable[[], Result[None, Failure]],
         wait: Callable[[int], None],
         metrics: Metrics,
     ) -> None:
-        self._states = states
+        self._state_table = state_table
         self._submitter = submitter
         self._refresh = refresh
         self._wait = wait
         self._metrics = metrics
-        self._taken_by_id: OrderedDict[str, str] = OrderedDict()
+        self._accepted_queue_by_job_id: OrderedDict[str, str] = OrderedDict()
         self._configuration: Configuration | None = None
         self._is_closing = False
 
     def configure(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Replace the configuration in use."""
         self._configuration = configuration
 
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force."""
+        """Return the configuration in use, or None before the first one."""
         return self._configuration
 
     def close(self) -> None:
-        """End connections after their next answer."""
+        """Have connections closed after their next answer."""
         self._is_closing = True
 
     def is_closing(self) -> bool:
-        """Return whether connections end after their next answer."""
+        """Return whether connections are closed after their next answer."""
         return self._is_closing
 
     def submit(self, job: JobSpec, timeout_ms: int) -> Result[None, Failure]:
-        """Store a job; one that is stored already is accepted again."""
-        if self._known(job.job_id) is not None:
+        """Store a job; accept a known job again without storing it twice.
+
+        :param timeout_ms: time until the caller needs the answer.
+        """
+        if self._lookup(job.job_id) is not None:
             return Ok(None)
         record = KeyedRecord(JOB_PREFIX + job.job_id, encode_job(job))
         with self._metrics.timing("submit"):
             outcome = self._append(record, timeout_ms)
         self._count("submit", outcome)
         if not isinstance(outcome, Err):
-            self._note_taken(job)
-        _log_answer("submit", job.job_id, outcome, job.queue)
+            self._remember_accepted(job)
+        _log_call("submit", job.job_id, outcome, job.queue)
         return outcome
 
     def cancel(self, job_id: str, timeout_ms: int) -> Result[bool, Failure]:
-        """Cancel a job; return False if there is none."""
+        """Store the cancellation of a job, unless the job has ended.
+
+        :param timeout_ms: time until the caller needs the answer.
+        :return: False if there is no such job.
+        """
         found = self._find(job_id)
         if isinstance(found, Err):
             return found
@@ -109,13 +121,16 @@
         record = KeyedRecord(CANCEL_PREFIX + job_id, CANCELLED)
         outcome = self._append(record, timeout_ms)
         self._count("cancel", outcome)
-        _log_answer("cancel", job_id, outcome, job.queue)
+        _log_call("cancel", job_id, outcome, job.queue)
         return outcome.map(lambda _: True)
 
     def state(
         self, job_id: str, timeout_ms: int
     ) -> Result[JobState | None, Failure]:
-        """Return a job's state, or None if there is no such job."""
+        """Return a job's state, or None if there is no such job.
+
+        :param timeout_ms: not used.
+        """
         del timeout_ms
         found = self._find(job_id)
         if isinstance(found, Err):
@@ -124,8 +139,8 @@
         return Ok(None if job is None else job.state)
 
     def pending(self, queue: Queue) -> int:
-        """Return the number of jobs without a started task."""
-        return self._states.pending(queue.name)
+        """Return the number of a queue's jobs without a started task."""
+        return self._state_table.pending(queue.name)
 
     def _count(self, call: str, outcome: Result[None, Failure]) -> None:
         label = "stored"
@@ -139,36 +154,47 @@
         wait_ms = max(1, timeout_ms - ANSWER_RESERVE_MS)
         return self._submitter.append(record, wait_ms)
 
-    def _known(self, job_id: str) -> ShownJob | None:
-        job = self._states.get(job_id)
-        if job is None and job_id in self._taken_by_id:
-            return ShownJob(JobState.PENDING, self._taken_by_id[job_id])
+    def _lookup(self, job_id: str) -> PublishedJob | None:
+        job = self._state_table.get(job_id)
+        if job is None and job_id in self._accepted_queue_by_job_id:
+            return PublishedJob(
+                JobState.PENDING, self._accepted_queue_by_job_id[job_id]
+            )
         return job
 
-    def _note_taken(self, job: JobSpec) -> None:
-        self._taken_by_id[job.job_id] = job.queue
-        while len(self._taken_by_id) > TAKEN_MAX_JOBS:
-            self._taken_by_id.popitem(last=False)
+    def _remember_accepted(self, job: JobSpec) -> None:
+        self._accepted_queue_by_job_id[job.job_id] = job.queue
+        while len(self._accepted_queue_by_job_id) > MAX_REMEMBERED_JOBS:
+            self._accepted_queue_by_job_id.popitem(last=False)
+
+    def _find(self, job_id: str) -> Result[PublishedJob | None, Failure]:
+        """Look a job up, with time for the leader to publish a new one.
 
-    def _find(self, job_id: str) -> Result[ShownJob | None, Failure]:
-        """Find a job, giving the leader time to tell of a new one."""
-        for pause_ms in (0, *NEWS_PAUSES_MS):
-            job = self._known(job_id)
+        :return: None if there is no such job; a failure if the published
+            states cannot be read, since the job may then be stored.
+        """
+        for delay_ms in (0, *STATE_RETRY_DELAYS_MS):
+            job = self._lookup(job_id)
             if job is not None:
                 return Ok(job)
-            if pause_ms:
-                self._wait(pause_ms)
+            if delay_ms:
+                self._wait(delay_ms)
             refreshed = self._refresh()
             if isinstance(refreshed, Err):
                 reason = refreshed.err_value.detail
-                detail = f"the job may be stored: {reason}"
+                detail = (
+                    "the job is not known here but may be stored; the "
+                    f"published states cannot be read: {reason}"
+                )
                 return Err(
-                    not_run(FailureCode.UNAVAILABLE, detail, RETRY_AFTER_MS)
+                    not_run(
+                        FailureCode.UNAVAILABLE, detail, STORE_RETRY_AFTER_MS
+                    )
                 )
-        return Ok(self._known(job_id))
+        return Ok(self._lookup(job_id))
 
 
-def _log_answer(
+def _log_call(
     call: str, job_id: str, outcome: Result[None, Failure], queue: str
 ) -> None:
     failure = outcome.err_value if isinstance(outcome, Err) else None
--- a/src/magnoliapitch/ledger/job_follower.py
+++ b/src/magnoliapitch/ledger/job_follower.py
@@ -1,4 +1,4 @@
-"""What the instance that leads reads of the jobs that are not over."""
+"""The leader's view of the stored jobs that have not been deleted."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.ledger.job_table import Replica
+from magnoliapitch.ledger.job_table import JobTable
 from magnoliapitch.ledger.mirror import StreamMirror
 from magnoliapitch.ledger.records import CANCEL_PREFIX
 from magnoliapitch.ledger.records import JOB_PREFIX
@@ -27,16 +27,19 @@
     from magnoliapitch.verdict import Failure
 
 
-WAIT_MS = 800
+READ_WAIT_MS = 800
 LOAD_TIMEOUT_MS = 2_000
-RETRY_PAUSE_MS = 200
+RETRY_DELAY_MS = 200
 
 
-class Archive:
-    """Submitted and cancelled jobs, and their progress.
+class JobFollower:
+    """Reads submissions, cancellations and progress into a job table.
 
-    :ivar replica: the jobs as far as they were read.
-    :param post: takes the ids of changed jobs.
+    Only the leader has a follower.
+
+    :param notify_changed: called with the ids of jobs whose records have
+        changed.
+    :ivar job_table: the jobs, as far as the streams were read.
     """
 
     def __init__(
@@ -44,37 +47,44 @@
         streams: KeyedStreams,
         clock: Clock,
         health: StoreHealth,
-        post: Callable[[frozenset[str]], None],
+        notify_changed: Callable[[frozenset[str]], None],
     ) -> None:
-        self.replica = Replica()
+        self.job_table = JobTable()
         self._clock = clock
         self._health = health
-        self._post = post
+        self._notify_changed = notify_changed
         self._streams = streams
-        self._mirror = StreamMirror(streams, JOB_STREAM)
+        self._job_mirror = StreamMirror(streams, JOB_STREAM)
 
     def load(self) -> Result[None, Failure]:
-        """Read every job and its progress; former leaders are fenced."""
-        mirror = StreamMirror(self._streams, PROGRESS_STREAM)
-        progress = mirror.refresh(timeout_ms=LOAD_TIMEOUT_MS)
+        """Read all progress, then all jobs, into the job table.
+
+        Former leaders must be fenced before this call, so that they cannot
+        store more progress after it was read.
+        """
+        progress_mirror = StreamMirror(self._streams, PROGRESS_STREAM)
+        progress = progress_mirror.refresh(timeout_ms=LOAD_TIMEOUT_MS)
         if isinstance(progress, Err):
             return progress
-        self.replica.apply(mirror.values_by_key, progress.ok_value)
+        self.job_table.apply(progress_mirror.values_by_key, progress.ok_value)
         return self.follow()
 
     def step(self) -> int:
-        """Follow the stream; return milliseconds until the next call."""
-        if isinstance(self.follow(WAIT_MS), Err):
-            return RETRY_PAUSE_MS
+        """Wait for changes of the job stream and read them.
+
+        :return: pause until the next call, in milliseconds.
+        """
+        if isinstance(self.follow(READ_WAIT_MS), Err):
+            return RETRY_DELAY_MS
         return 0
 
-    def forget(self, job_ids: Iterable[str]) -> Result[None, Failure]:
-        """Drop jobs that are over."""
+    def delete_jobs(self, job_ids: Iterable[str]) -> Result[None, Failure]:
+        """Delete the stored submissions and cancellations of ended jobs."""
         records = [
             KeyedRecord(prefix + job_id, b"")
             for job_id in job_ids
             for prefix in (JOB_PREFIX, CANCEL_PREFIX)
-            if prefix + job_id in self._mirror.values_by_key
+            if prefix + job_id in self._job_mirror.values_by_key
         ]
         if not records:
             return Ok(None)
@@ -82,15 +92,20 @@
         return appended.map(lambda _: None)
 
     def follow(self, wait_ms: int = 0) -> Result[None, Failure]:
-        """Read the stream to its end once."""
+        """Read the job stream up to its end and report changed jobs.
+
+        :param wait_ms: how long to wait for a first new record.
+        """
         sent_ms = self._clock.now_ms()
-        changed = self._mirror.refresh(wait_ms)
-        if isinstance(changed, Err):
-            self._health.note_failure(changed.err_value)
-            return changed
+        refreshed = self._job_mirror.refresh(wait_ms)
+        if isinstance(refreshed, Err):
+            self._health.note_failure(refreshed.err_value)
+            return refreshed
         self._health.note_success(sent_ms)
-        keys = changed.ok_value
-        ids = self.replica.apply(self._mirror.values_by_key, keys)
-        if ids:
-            self._post(frozenset(ids))
+        changed_keys = refreshed.ok_value
+        changed_job_ids = self.job_table.apply(
+            self._job_mirror.values_by_key, changed_keys
+        )
+        if changed_job_ids:
+            self._notify_changed(frozenset(changed_job_ids))
         return Ok(None)
--- a/src/magnoliapitch/ledger/job_table.py
+++ b/src/magnoliapitch/ledger/job_table.py
@@ -1,4 +1,4 @@
-"""What is stored of the jobs that are not over."""
+"""Table of the stored jobs that have not been deleted."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class StoredJob(NamedTuple):
-    """What is stored of a job.
+    """The stored records of a job.
 
-    :param spec: None while only a cancellation or progress is known.
-    :param progress: None before the first task was ordered.
+    :param spec: None while only a cancellation or progress has been read.
+    :param progress: None until the leader has stored the first progress.
     """
 
     spec: JobSpec | None = None
@@ -36,19 +36,22 @@
 
     @property
     def outcome(self) -> JobOutcome:
-        """Return the final state, or ``OPEN``."""
+        """Return how the job has ended, or ``OPEN`` if it has not.
+
+        A stored final outcome takes precedence over a cancellation.
+        """
         if self.progress and self.progress.outcome is not JobOutcome.OPEN:
             return self.progress.outcome
         return JobOutcome.CANCELLED if self.is_cancelled else JobOutcome.OPEN
 
 
-NO_JOB = StoredJob()
+EMPTY_JOB = StoredJob()
 
 
-class Replica:
-    """The jobs as far as the streams were read; safe to share.
+class JobTable:
+    """Jobs and their progress, as far as the streams were read; thread-safe.
 
-    Only the instance that leads keeps one.
+    Only the leader has one.
     """
 
     def __init__(self) -> None:
@@ -56,12 +59,12 @@
         self._jobs_by_id: dict[str, StoredJob] = {}
 
     def get(self, job_id: str) -> StoredJob | None:
-        """Return a job that was submitted, or None."""
+        """Return a job, or None if no submission of it is stored."""
         job = self._jobs_by_id.get(job_id)
         return job if job is not None and job.spec is not None else None
 
     def jobs(self) -> list[StoredJob]:
-        """Return every job that was submitted and is not forgotten."""
+        """Return every job whose submission is stored."""
         with self._lock:
             jobs = list(self._jobs_by_id.values())
         return [job for job in jobs if job.spec is not None]
@@ -69,37 +72,45 @@
     def apply(
         self, values_by_key: Mapping[str, bytes], keys: Iterable[str]
     ) -> set[str]:
-        """Take over changed keys and return the ids of changed jobs."""
-        changed: set[str] = set()
+        """Apply changed records and return the ids of the jobs concerned.
+
+        Records that cannot be read are logged and skipped.
+
+        :param values_by_key: newest value of each key that has one.
+        :param keys: keys that have changed.
+        """
+        changed_job_ids: set[str] = set()
         for key in keys:
             try:
-                job_id = self._apply_one(key, values_by_key.get(key))
+                job_id = self._apply_record(key, values_by_key.get(key))
             except ValueError as error:
                 log_event("record-unreadable", key=key, reason=str(error))
                 continue
             if job_id:
-                changed.add(job_id)
-        return changed
+                changed_job_ids.add(job_id)
+        return changed_job_ids
 
-    def _apply_one(self, key: str, value: bytes | None) -> str:
+    def _apply_record(self, key: str, value: bytes | None) -> str:
         prefix, job_id = key[:2], key[2:]
-        job = self._jobs_by_id.get(job_id, NO_JOB)
+        job = self._jobs_by_id.get(job_id, EMPTY_JOB)
         if prefix == JOB_PREFIX:
             spec = None if value is None else decode_job(value)
-            self._put(job_id, job._replace(spec=spec))
+            self._replace_job(job_id, job._replace(spec=spec))
         elif prefix == CANCEL_PREFIX:
-            self._put(job_id, job._replace(is_cancelled=value is not None))
+            self._replace_job(
+                job_id, job._replace(is_cancelled=value is not None)
+            )
         elif prefix == PROGRESS_PREFIX:
             progress = None if not value else decode_progress(job_id, value)
-            self._put(job_id, job._replace(progress=progress))
+            self._replace_job(job_id, job._replace(progress=progress))
         else:
             log_event("record-unreadable", key=key, reason="unknown prefix")
             return ""
         return job_id
 
-    def _put(self, job_id: str, job: StoredJob) -> None:
+    def _replace_job(self, job_id: str, job: StoredJob) -> None:
         with self._lock:
-            if job == NO_JOB:
+            if job == EMPTY_JOB:
                 self._jobs_by_id.pop(job_id, None)
             else:
                 self._jobs_by_id[job_id] = job
--- a/src/magnoliapitch/ledger/leadership.py
+++ b/src/magnoliapitch/ledger/leadership.py
@@ -1,4 +1,4 @@
-"""Which instance decides, by claims in the order of the log."""
+"""Election of the leader through claims in an ordered stream."""
 
 from __future__ import annotations
 
@@ -34,27 +34,29 @@
 
 
 PRODUCER = "leader"
-# Epochs of racing claims differ in their lower part.
-EPOCH_SPREAD = 1 << 16
-# Without a record of the leader for this long, others may claim.
-LEADER_SILENCE_MS = 1_000
-# A slow store shows the leader's records late: add this many reads.
-SLOW_READS = 3
-# Spreads the claims of several instances.
-CLAIM_JITTER_MS = 300
-RESIGNED_JITTER_MS = 60
+# A claim's epoch is the next multiple of this step plus a random number below
+# it, so that claims made at the same time get different epochs.
+EPOCH_STEP = 1 << 16
+# Time without a record of the leader after which others may claim.
+LEADER_TIMEOUT_MS = 1_000
+# A slow store delivers the leader's records late, so that a claim waits longer
+# by the duration of this many reads.
+READ_DURATION_FACTOR = 3
+# Random delays spread the claims of several instances.
+MAX_CLAIM_JITTER_MS = 300
+MAX_RESIGNED_JITTER_MS = 60
 FIRST_CLAIM_DELAY_MS = 300
-COMMIT_TIMEOUT_MS = 800
-FOLLOW_WAIT_MS = 800
-# Between two reads records gather, so that fewer calls are made.
-FOLLOW_PAUSE_MS = 200
-RETRY_PAUSE_MS = 200
+APPEND_TIMEOUT_MS = 800
+READ_WAIT_MS = 800
+# Records accumulate between two reads, which saves calls to the store.
+READ_INTERVAL_MS = 200
+RETRY_DELAY_MS = 200
 
 
 class Claim(NamedTuple):
-    """A claim that was stored.
+    """A claim of leadership that was stored.
 
-    :param stored_ms: when the call that stored it was answered.
+    :param stored_ms: time at which the call that stored it was answered.
     """
 
     record: LeaderRecord
@@ -62,10 +64,10 @@
 
 
 class Batch(NamedTuple):
-    """Records that are stored together.
+    """Records that the leader stores in one commit.
 
-    :param progress: of jobs, which only the next leader reads.
-    :param states: of jobs, which every instance follows.
+    :param progress: progress of jobs, which only the next leader reads.
+    :param states: states of jobs, which every instance reads.
     """
 
     progress: tuple[KeyedRecord, ...] = ()
@@ -73,12 +75,16 @@
 
 
 class Leadership:
-    """Follows the states of all jobs, and claims to lead when needed.
+    """Reads published job states and claims leadership if nobody leads.
 
-    :param can_lead: whether this instance knows enough to decide.
-    :param handicap_ms: how much longer than others this instance waits
-        before it claims.
-    :ivar claim: the claim under which this instance leads, or None.
+    While this instance leads, it also stores the leader's records, under the
+    epoch of its claim.
+
+    :param can_lead: returns whether this instance is ready to lead.
+    :param extra_claim_delay_ms: how much longer than other instances this one
+        waits before it claims.
+    :ivar claim: claim under which this instance leads, or None.
+    :ivar has_loaded: whether the stream was read to its end at least once.
     """
 
     def __init__(
@@ -90,68 +96,80 @@
         health: StoreHealth,
         randomness: random.Random,
         can_lead: Callable[[], bool],
-        handicap_ms: int = 0,
+        extra_claim_delay_ms: int = 0,
     ) -> None:
         self.claim: Claim | None = None
         self.has_loaded = False
         self._streams = streams
         self._instance_id = instance_id
-        self._states = states
+        self._state_table = states
         self._clock = clock
         self._health = health
         self._random = randomness
         self._can_lead = can_lead
-        self._handicap_ms = handicap_ms
+        self._extra_claim_delay_ms = extra_claim_delay_ms
         self._mirror = StreamMirror(streams, STATE_STREAM)
         self._state_writer = Writer(PRODUCER, 0, 0)
         self._progress_writer = Writer(PRODUCER, 0, 0)
         self._is_progress_stored = False
-        self._heard_ms = clock.now_ms()
-        self._delay_ms = FIRST_CLAIM_DELAY_MS + handicap_ms
+        self._last_heard_ms = clock.now_ms()
+        self._claim_delay_ms = FIRST_CLAIM_DELAY_MS + extra_claim_delay_ms
         self._may_claim = True
 
     def step(self) -> int:
-        """Follow the stream; return milliseconds until the next call."""
+        """Wait for new records; claim leadership if the leader is silent.
+
+        :return: pause until the next call, in milliseconds.
+        """
         if self.claim is not None:
-            return FOLLOW_PAUSE_MS
-        left_ms = self._delay_ms - (self._clock.now_ms() - self._heard_ms)
-        wait_ms = min(FOLLOW_WAIT_MS, max(0, left_ms))
+            return READ_INTERVAL_MS
+        remaining_ms = self._claim_delay_ms - (
+            self._clock.now_ms() - self._last_heard_ms
+        )
+        wait_ms = min(READ_WAIT_MS, max(0, remaining_ms))
         started_ms = self._clock.now_ms()
-        is_read = self.follow(wait_ms)
-        if isinstance(is_read, Err):
-            # The leader could not be heard; it gets its time again.
-            self._heard_ms = self._clock.now_ms()
-            return RETRY_PAUSE_MS
-        if wait_ms < FOLLOW_WAIT_MS:
-            read_ms = self._clock.now_ms() - started_ms - wait_ms
-            self._claim_if_silent(max(0, read_ms))
-        if self._states.leader and self._states.leader.has_resigned:
+        followed = self.follow(wait_ms)
+        if isinstance(followed, Err):
+            # The leader's records could not be read, so that its timeout
+            # starts anew.
+            self._last_heard_ms = self._clock.now_ms()
+            return RETRY_DELAY_MS
+        if wait_ms < READ_WAIT_MS:
+            read_duration_ms = self._clock.now_ms() - started_ms - wait_ms
+            self._claim_if_leader_silent(max(0, read_duration_ms))
+        if self._state_table.leader and self._state_table.leader.has_resigned:
             return 0
-        return FOLLOW_PAUSE_MS
+        return READ_INTERVAL_MS
 
     def follow(self, wait_ms: int = 0) -> Result[None, Failure]:
-        """Read the stream to its end once."""
+        """Read the stream of states up to its end.
+
+        :param wait_ms: how long to wait for a first new record.
+        """
         sent_ms = self._clock.now_ms()
-        end = self._mirror.end
+        end_offset = self._mirror.end
         changed = self._mirror.refresh(wait_ms)
         if isinstance(changed, Err):
             self._health.note_failure(changed.err_value)
             return changed
         self._health.note_success(sent_ms)
         self.has_loaded = True
-        if self._mirror.end != end:
-            self._heard(changed.ok_value)
+        if self._mirror.end != end_offset:
+            self._handle_changes(changed.ok_value)
         return Ok(None)
 
-    def fence(self) -> Result[int, Failure]:
-        """Keep former leaders from storing progress."""
+    def fence_former_leaders(self) -> Result[int, Failure]:
+        """Prevent former leaders from storing progress.
+
+        An empty append under the new epoch makes the store refuse lower ones.
+        """
         return self._append_progress([])
 
     def commit(self, batch: Batch) -> Result[int, Failure]:
         """Store progress, then the states that follow from it.
 
-        The same batch may be committed again after a failure; what was
-        stored the first time is not stored twice.
+        After a failure, the same batch can be committed again: nothing is
+        stored twice.
         """
         if batch.progress and not self._is_progress_stored:
             outcome = self._append_progress(batch.progress)
@@ -170,7 +188,7 @@
     ) -> Result[int, Failure]:
         outcome = self._append(PROGRESS_STREAM, records, self._progress_writer)
         if not isinstance(outcome, Err):
-            self._progress_writer = _following(self._progress_writer)
+            self._progress_writer = _with_next_sequence(self._progress_writer)
         return outcome
 
     def _append_states(
@@ -178,7 +196,7 @@
     ) -> Result[int, Failure]:
         outcome = self._append(STATE_STREAM, records, self._state_writer)
         if not isinstance(outcome, Err):
-            self._state_writer = _following(self._state_writer)
+            self._state_writer = _with_next_sequence(self._state_writer)
         return outcome
 
     def _append(
@@ -186,7 +204,7 @@
     ) -> Result[int, Failure]:
         sent_ms = self._clock.now_ms()
         outcome = self._streams.append(
-            stream, records, writer, timeout_ms=COMMIT_TIMEOUT_MS
+            stream, records, writer, timeout_ms=APPEND_TIMEOUT_MS
         )
         if isinstance(outcome, Err):
             self._health.note_failure(outcome.err_value)
@@ -195,7 +213,7 @@
         return Ok(outcome.ok_value.end)
 
     def resign(self) -> None:
-        """Tell the others that this instance leads no more."""
+        """Publish that this instance stops leading, so that others claim."""
         self._may_claim = False
         claim = self.claim
         if claim is None:
@@ -208,39 +226,42 @@
         log_event("leadership-resigned", outcome=result)
 
     def step_down(self) -> None:
-        """Lead no more; another claim was seen or the instance stops."""
+        """Stop leading, since another claim was seen or the instance stops."""
         self.claim = None
-        self._heard_ms = self._clock.now_ms()
-        self._delay_ms = self._silence_ms()
+        self._last_heard_ms = self._clock.now_ms()
+        self._claim_delay_ms = self._random_claim_delay_ms()
 
-    def _heard(self, keys: set[str]) -> None:
-        self._heard_ms = self._clock.now_ms()
-        self._states.apply(self._mirror.values_by_key, keys)
-        leader = self._states.leader
+    def _handle_changes(self, keys: set[str]) -> None:
+        self._last_heard_ms = self._clock.now_ms()
+        self._state_table.apply(self._mirror.values_by_key, keys)
+        leader = self._state_table.leader
         if leader is not None and leader.has_resigned:
-            jitter_ms = self._random.randrange(RESIGNED_JITTER_MS)
-            self._delay_ms = jitter_ms + self._handicap_ms
+            jitter_ms = self._random.randrange(MAX_RESIGNED_JITTER_MS)
+            self._claim_delay_ms = jitter_ms + self._extra_claim_delay_ms
         elif leader is not None and leader.instance_id == self._instance_id:
-            # An earlier run of this instance led, and is surely gone.
-            self._delay_ms = 0
+            # The leader was an earlier process of this instance, which has
+            # certainly ended.
+            self._claim_delay_ms = 0
         else:
-            self._delay_ms = self._silence_ms()
+            self._claim_delay_ms = self._random_claim_delay_ms()
 
-    def _silence_ms(self) -> int:
-        jitter_ms = self._random.randrange(CLAIM_JITTER_MS)
-        return LEADER_SILENCE_MS + jitter_ms + self._handicap_ms
+    def _random_claim_delay_ms(self) -> int:
+        jitter_ms = self._random.randrange(MAX_CLAIM_JITTER_MS)
+        return LEADER_TIMEOUT_MS + jitter_ms + self._extra_claim_delay_ms
 
-    def _claim_if_silent(self, read_ms: int) -> None:
-        silent_ms = self._clock.now_ms() - self._heard_ms
-        needed_ms = self._delay_ms + SLOW_READS * read_ms
-        if silent_ms < needed_ms or not self._may_claim:
+    def _claim_if_leader_silent(self, read_duration_ms: int) -> None:
+        silent_ms = self._clock.now_ms() - self._last_heard_ms
+        required_ms = (
+            self._claim_delay_ms + READ_DURATION_FACTOR * read_duration_ms
+        )
+        if silent_ms < required_ms or not self._may_claim:
             return
         if not self._can_lead():
             return
-        leader = self._states.leader
-        last = leader.epoch if leader else 0
-        base = (last // EPOCH_SPREAD + 1) * EPOCH_SPREAD
-        epoch = base + self._random.randrange(EPOCH_SPREAD)
+        leader = self._state_table.leader
+        last_epoch = leader.epoch if leader else 0
+        base_epoch = (last_epoch // EPOCH_STEP + 1) * EPOCH_STEP
+        epoch = base_epoch + self._random.randrange(EPOCH_STEP)
         record = LeaderRecord(epoch, self._instance_id)
         writer = Writer(PRODUCER, epoch, 1)
         outcome = self._streams.append(
@@ -248,22 +269,24 @@
             [KeyedRecord(LEADER_KEY, encode_leader(record))],
             writer,
             self._mirror.end,
-            COMMIT_TIMEOUT_MS,
+            APPEND_TIMEOUT_MS,
         )
         if isinstance(outcome, Err):
-            self._note_lost_claim(record, outcome.err_value)
+            self._handle_failed_claim(record, outcome.err_value)
             return
         self._mirror.skip_to(outcome.ok_value.end)
-        self._states.leader = record
-        self._state_writer = _following(writer)
+        self._state_table.leader = record
+        self._state_writer = _with_next_sequence(writer)
         self._progress_writer = writer
         self._is_progress_stored = False
         self.claim = Claim(record, self._clock.now_ms())
         log_event("leadership-claimed", epoch=epoch, silent_ms=silent_ms)
 
-    def _note_lost_claim(self, record: LeaderRecord, failure: Failure) -> None:
-        self._delay_ms = self._silence_ms()
-        self._heard_ms = self._clock.now_ms()
+    def _handle_failed_claim(
+        self, record: LeaderRecord, failure: Failure
+    ) -> None:
+        self._claim_delay_ms = self._random_claim_delay_ms()
+        self._last_heard_ms = self._clock.now_ms()
         log_event(
             "leadership-claim-failed",
             epoch=record.epoch,
@@ -272,5 +295,5 @@
         )
 
 
-def _following(writer: Writer) -> Writer:
+def _with_next_sequence(writer: Writer) -> Writer:
     return writer._replace(sequence=writer.sequence + 1)
--- a/src/magnoliapitch/ledger/mirror.py
+++ b/src/magnoliapitch/ledger/mirror.py
@@ -1,4 +1,4 @@
-"""A copy of the newest record of each key of a stream."""
+"""A local copy of the newest record of each key of a stream."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class StreamMirror:
-    """Follows one stream; safe to refresh from several threads.
+    """Local copy of one stream; can be refreshed from several threads.
 
-    No lock is held while the store is asked, so that a refresh without a
-    wait is not held up by one that waits for news.
+    No lock is held during a call to the store, so that a refresh without a
+    wait is not delayed by one that waits for new records.
 
     :ivar values_by_key: newest value of each key that has one.
-    :ivar end: offset up to which the mirror has read; -1 before that.
+    :ivar end: offset of the next record to read; -1 before the first read.
     """
 
     def __init__(self, streams: KeyedStreams, stream: str) -> None:
@@ -45,9 +45,13 @@
     def refresh(
         self, wait_ms: int = 0, timeout_ms: int = READ_TIMEOUT_MS
     ) -> Result[set[str], Failure]:
-        """Read what is new and return the keys that have changed.
+        """Read new records and return the keys whose value has changed.
+
+        The first call, and one after old records have expired unread, reads
+        the newest record of every key instead.
 
         :param wait_ms: how long to wait for a first new record.
+        :param timeout_ms: how long each call may take beyond that.
         """
         if self.end < 0:
             return self._load(timeout_ms)
@@ -65,7 +69,10 @@
         return Ok(changed)
 
     def skip_to(self, end: int) -> None:
-        """Go on at an offset, since the owner knows what lies before."""
+        """Continue at an offset; the caller knows the records before it.
+
+        :param end: offset of the next record to read.
+        """
         self.end = end
 
     def _load(self, timeout_ms: int) -> Result[set[str], Failure]:
@@ -78,37 +85,43 @@
             page = self._streams.newest(self._stream, after_key, timeout_ms)
             if isinstance(page, Err):
                 return page
-            found = page.ok_value
-            # Records after the first page's end are read again later.
-            end = found.end if end is None else end
-            records += found.records
-            has_more = found.has_more and bool(found.records)
+            content = page.ok_value
+            # Pages are not one snapshot: reading continues at the end that the
+            # first page names, so that later records are read again.
+            end = content.end if end is None else end
+            records += content.records
+            has_more = content.has_more and bool(content.records)
             after_key = records[-1].key if records else ""
         with self._lock:
             changed = self._apply(records)
-            changed |= self._forget_absent(records, end or 0)
+            changed |= self._remove_absent(records, end or 0)
             self.end = max(self.end, end or 0)
         return Ok(changed)
 
-    def _forget_absent(
+    def _remove_absent(
         self, records: list[StoredRecord], end: int
     ) -> set[str]:
-        """Drop keys whose removal has left the stream unread."""
-        seen = {record.key for record in records}
-        gone = {
+        """Remove keys whose deletion expired before it was read.
+
+        :param records: newest record of every key of the stream.
+        :param end: offset before which the records are complete.
+        :return: the removed keys.
+        """
+        present = {record.key for record in records}
+        removed = {
             key
             for key in self.values_by_key
-            if key not in seen and self._offset_by_key[key] < end
+            if key not in present and self._offset_by_key[key] < end
         }
-        for key in gone:
+        for key in removed:
             del self.values_by_key[key]
             del self._offset_by_key[key]
-        return gone
+        return removed
 
     def _apply(self, records: Iterable[StoredRecord]) -> set[str]:
-        return {record.key for record in records if self._apply_one(record)}
+        return {record.key for record in records if self._apply_record(record)}
 
-    def _apply_one(self, record: StoredRecord) -> bool:
+    def _apply_record(self, record: StoredRecord) -> bool:
         if record.offset <= self._offset_by_key.get(record.key, -1):
             return False
         if record.value:
--- a/src/magnoliapitch/ledger/records.py
+++ b/src/magnoliapitch/ledger/records.py
@@ -1,4 +1,4 @@
-"""Records of jobs, progress and leadership, as bytes."""
+"""Stream names, keys and encoding of the stored records."""
 
 from __future__ import annotations
 
@@ -26,11 +26,12 @@
 
 
 class LeaderRecord(NamedTuple):
-    """The newest claim of leadership.
+    """A claim of leadership.
 
-    :param epoch: fencing token; later claims have higher ones.
-    :param instance_id: who claimed.
-    :param has_resigned: the leader stops; anybody may claim at once.
+    :param epoch: fencing token; a later claim has a higher one.
+    :param instance_id: instance that claimed.
+    :param has_resigned: whether the leader has stopped leading, so that other
+        instances may claim at once.
     """
 
     epoch: int
@@ -38,7 +39,7 @@
     has_resigned: bool = False
 
 
-class _Row(NamedTuple):
+class _TaskRow(NamedTuple):
     occurrence: int
     step: int
     position: int
@@ -48,57 +49,58 @@
 class _ProgressRecord(NamedTuple):
     outcome: JobOutcome
     has_begun: bool
-    rows: tuple[_Row, ...]
+    rows: tuple[_TaskRow, ...]
 
 
-_JOB: TypeAdapter[JobSpec] = TypeAdapter(JobSpec)
-_LEADER: TypeAdapter[LeaderRecord] = TypeAdapter(LeaderRecord)
-_PROGRESS: TypeAdapter[_ProgressRecord] = TypeAdapter(_ProgressRecord)
+_JOB_ADAPTER: TypeAdapter[JobSpec] = TypeAdapter(JobSpec)
+_LEADER_ADAPTER: TypeAdapter[LeaderRecord] = TypeAdapter(LeaderRecord)
+_PROGRESS_ADAPTER: TypeAdapter[_ProgressRecord] = TypeAdapter(_ProgressRecord)
 
 
 def encode_job(job: JobSpec) -> bytes:
-    """Return a job as bytes."""
-    return _JOB.dump_json(job)
+    """Encode a submitted job as JSON."""
+    return _JOB_ADAPTER.dump_json(job)
 
 
 def decode_job(value: bytes) -> JobSpec:
-    """Parse a job.
+    """Decode a submitted job.
 
-    :raises ValueError: if it cannot be read.
+    :raises ValueError: if the value is not a valid job.
     """
-    return _JOB.validate_json(value)
+    return _JOB_ADAPTER.validate_json(value)
 
 
 def encode_leader(record: LeaderRecord) -> bytes:
-    """Return a claim as bytes."""
-    return _LEADER.dump_json(record)
+    """Encode a claim of leadership as JSON."""
+    return _LEADER_ADAPTER.dump_json(record)
 
 
 def decode_leader(value: bytes) -> LeaderRecord:
-    """Parse a claim.
+    """Decode a claim of leadership.
 
-    :raises ValueError: if it cannot be read.
+    :raises ValueError: if the value is not a valid claim.
     """
-    return _LEADER.validate_json(value)
+    return _LEADER_ADAPTER.validate_json(value)
 
 
 def encode_progress(progress: JobProgress) -> bytes:
-    """Return a job's progress as bytes."""
+    """Encode a job's progress as JSON, without the job's id."""
     rows = tuple(
-        _Row(task.occurrence, task.step, task.position, state)
+        _TaskRow(task.occurrence, task.step, task.position, state)
         for task, state in progress.tasks_by_key.items()
     )
-    return _PROGRESS.dump_json(
+    return _PROGRESS_ADAPTER.dump_json(
         _ProgressRecord(progress.outcome, progress.has_begun, rows)
     )
 
 
 def decode_progress(job_id: str, value: bytes) -> JobProgress:
-    """Parse a job's progress.
+    """Decode a job's progress.
 
-    :raises ValueError: if it cannot be read.
+    :param job_id: id from the record's key.
+    :raises ValueError: if the value is not valid progress.
     """
-    record = _PROGRESS.validate_json(value)
+    record = _PROGRESS_ADAPTER.validate_json(value)
     return JobProgress(
         job_id,
         record.outcome,
--- a/src/magnoliapitch/ledger/state_table.py
+++ b/src/magnoliapitch/ledger/state_table.py
@@ -1,4 +1,4 @@
-"""The state of every job as callers see it."""
+"""Published states of all jobs, which every instance keeps."""
 
 from __future__ import annotations
 
@@ -34,63 +34,61 @@
 FINAL_STATES = frozenset(
     (JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
 )
-_LETTER_BY_STATE = {
+_CODE_BY_STATE = {
     JobState.PENDING: "p",
     JobState.RUNNING: "r",
     JobState.COMPLETED: "c",
     JobState.FAILED: "f",
     JobState.CANCELLED: "x",
 }
-_STATE_BY_LETTER = {
-    letter: state for state, letter in _LETTER_BY_STATE.items()
-}
+_STATE_BY_CODE = {code: state for state, code in _CODE_BY_STATE.items()}
 
 
-class ShownJob(NamedTuple):
-    """What callers may know of a job."""
+class PublishedJob(NamedTuple):
+    """State and queue of a job, as the leader publishes them."""
 
     state: JobState
     queue: str
 
     def encode(self) -> bytes:
-        """Return the value of the job's record."""
-        return (_LETTER_BY_STATE[self.state] + self.queue).encode()
+        """Return the value of the job's state record."""
+        return (_CODE_BY_STATE[self.state] + self.queue).encode()
 
     @classmethod
-    def decode(cls, value: bytes) -> ShownJob:
-        """Parse the value of a job's record.
+    def decode(cls, value: bytes) -> PublishedJob:
+        """Decode the value of a job's state record.
 
-        :raises ValueError: if it cannot be read.
+        :raises ValueError: if the value does not begin with a state's code.
         """
         text = value.decode()
-        state = _STATE_BY_LETTER.get(text[:1])
+        state = _STATE_BY_CODE.get(text[:1])
         if state is None:
-            raise ValueError(f"no state: {text[:1]!r}")
+            raise ValueError(f"unknown state code {text[:1]!r}")
         return cls(state, text[1:])
 
 
 class StateTable:
-    """Jobs that the leader has told of; safe to share.
+    """Jobs whose state the leader has published; thread-safe.
 
-    :ivar leader: the newest claim of leadership.
+    :ivar leader: newest claim of leadership, or None if none is stored.
     """
 
     def __init__(self) -> None:
         self.leader: LeaderRecord | None = None
         self._lock = threading.Lock()
-        self._job_by_id: dict[str, ShownJob] = {}
+        self._job_by_id: dict[str, PublishedJob] = {}
         self._pending_by_queue: Counter[str] = Counter()
 
-    def get(self, job_id: str) -> ShownJob | None:
-        """Return a job, or None if it is not known."""
+    def get(self, job_id: str) -> PublishedJob | None:
+        """Return a job, or None if no state of it is published."""
         return self._job_by_id.get(job_id)
 
     def pending(self, queue: str) -> int:
-        """Return the number of a queue's jobs without a begun task."""
+        """Return the number of a queue's jobs without a started task."""
         return self._pending_by_queue[queue]
 
-    def ended_ids(self) -> list[str]:
-        """Return the jobs that have a final state."""
+    def ended_job_ids(self) -> list[str]:
+        """Return the ids of the jobs that have a final state."""
         with self._lock:
             return [
                 job_id
@@ -98,8 +96,8 @@
                 if job.state in FINAL_STATES
             ]
 
-    def put(self, job_id: str, job: ShownJob | None) -> None:
-        """Set or forget a job."""
+    def put(self, job_id: str, job: PublishedJob | None) -> None:
+        """Set the published state of a job; None removes the job."""
         with self._lock:
             old = self._job_by_id.pop(job_id, None)
             if old is not None and old.state is JobState.PENDING:
@@ -113,21 +111,27 @@
     def apply(
         self, values_by_key: Mapping[str, bytes], keys: Iterable[str]
     ) -> None:
-        """Take over changed keys of the stream."""
+        """Apply changed records of the stream of states.
+
+        Records that cannot be read are logged and skipped.
+
+        :param values_by_key: newest value of each key that has one.
+        :param keys: keys that have changed.
+        """
         for key in keys:
             try:
-                self._apply_one(key, values_by_key.get(key))
+                self._apply_record(key, values_by_key.get(key))
             except ValueError as error:
                 log_event("record-unreadable", key=key, reason=str(error))
 
-    def _apply_one(self, key: str, value: bytes | None) -> None:
+    def _apply_record(self, key: str, value: bytes | None) -> None:
         if key == LEADER_KEY:
             self.leader = None if value is None else decode_leader(value)
         elif key.startswith(STATE_PREFIX):
-            job = None if value is None else ShownJob.decode(value)
+            job = None if value is None else PublishedJob.decode(value)
             self.put(key[len(STATE_PREFIX) :], job)
         else:
             log_event("record-unreadable", key=key, reason="unknown prefix")
 
 
-__all__ = ["FINAL_STATES", "JobState", "ShownJob", "StateTable"]
+__all__ = ["FINAL_STATES", "JobState", "PublishedJob", "StateTable"]
--- a/src/magnoliapitch/ledger/stream.py
+++ b/src/magnoliapitch/ledger/stream.py
@@ -1,4 +1,4 @@
-"""Interface of streams of keyed records."""
+"""Interface to the store: streams of keyed records."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class KeyedRecord(NamedTuple):
     """A record to append.
 
-    :param value: empty to forget the key.
+    :param value: empty to delete the key.
     """
 
     key: str
@@ -26,7 +26,7 @@
 
 
 class StoredRecord(NamedTuple):
-    """A record of a stream at its offset."""
+    """A record of a stream and its offset."""
 
     offset: int
     key: str
@@ -34,10 +34,10 @@
 
 
 class StreamSlice(NamedTuple):
-    """Consecutive records.
+    """Consecutive records of a stream.
 
     :param first: lowest offset that can still be read.
-    :param end: offset that the next append will get.
+    :param end: offset that the next appended record will get.
     """
 
     records: tuple[StoredRecord, ...]
@@ -46,10 +46,13 @@
 
 
 class NewestPage(NamedTuple):
-    """Newest records of keys; pages together are no snapshot.
+    """Newest records of some keys, in the order of the keys.
 
-    :param has_more: whether to go on after the last key.
-    :param end: end of the stream when the page was made.
+    Each page is read at another time, so that several pages together are not
+    a consistent snapshot.
+
+    :param has_more: whether there are further keys after the last one.
+    :param end: end of the stream when the page was read.
     """
 
     records: tuple[StoredRecord, ...]
@@ -58,12 +61,13 @@
 
 
 class Writer(NamedTuple):
-    """Identity under which appends are ordered and deduplicated.
+    """Identity by which the store orders and deduplicates appends.
 
-    :param producer: name of the sequence of appends.
-    :param epoch: a lower one than seen is refused.
-    :param sequence: number of the append within the epoch; a repeat of a
-        recent one gets its first answer again.
+    :param producer: name under which the store keeps the epoch and sequence.
+    :param epoch: fencing token; the store refuses an epoch below the highest
+        one it has seen from the producer.
+    :param sequence: number of the append within the epoch; the store answers
+        a repeated recent number as it did the first time, without appending.
     """
 
     producer: str
@@ -72,9 +76,10 @@
 
 
 class Appended(NamedTuple):
-    """Where records were appended.
+    """Position of appended records.
 
     :param offset: offset of the first record.
+    :param end: end of the stream after the append.
     """
 
     offset: int
@@ -82,15 +87,21 @@
 
 
 class KeyedStreams(Protocol):
-    """Streams of keyed records; safe to use from several threads.
-
-    The newest record of each key is kept for good, older ones for a
-    limited time. Failures: ``FENCED`` (a higher epoch was seen),
-    ``CONFLICT`` (the stream does not end at ``expected_end``),
-    ``SEQUENCE`` (the number does not follow), ``TRUNCATED`` (the offset
-    cannot be read any more), ``OVERLOADED`` and ``UNAVAILABLE`` with
-    verdict ``not_run``; ``TIMEOUT`` with ``may_have_run``, which the store
-    may still carry out seconds later.
+    """Streams of keyed records; thread-safe.
+
+    The store keeps the newest record of each key without limit and older
+    records for a limited time.
+
+    Failures with the verdict ``not_run`` have one of the codes
+
+    - ``FENCED``: the store has seen a higher epoch of the producer;
+    - ``CONFLICT``: the stream does not end at ``expected_end``;
+    - ``SEQUENCE``: the sequence number does not follow the last one;
+    - ``TRUNCATED``: the records at the offset have expired;
+    - ``OVERLOADED`` or ``UNAVAILABLE``.
+
+    ``TIMEOUT`` has the verdict ``may_have_run``: the store may still carry
+    the call out seconds later.
     """
 
     def append(
@@ -101,7 +112,12 @@
         expected_end: int | None = None,
         timeout_ms: int = 1_000,
     ) -> Result[Appended, Failure]:
-        """Append all records or none."""
+        """Append all records or none.
+
+        :param writer: identity for fencing and deduplication; None to append
+            without them.
+        :param expected_end: append only if the stream ends at this offset.
+        """
 
     def read(
         self,
@@ -110,9 +126,16 @@
         wait_ms: int = 0,
         timeout_ms: int = 1_000,
     ) -> Result[StreamSlice, Failure]:
-        """Read records from an offset, oldest first."""
+        """Read records from an offset, oldest first.
+
+        :param wait_ms: how long the store may wait for a first record.
+        :param timeout_ms: how long the call may take beyond that.
+        """
 
     def newest(
         self, stream: str, after_key: str = "", timeout_ms: int = 1_000
     ) -> Result[NewestPage, Failure]:
-        """Return a page of the newest record of each key."""
+        """Return a page of the newest record of each key.
+
+        :param after_key: last key of the previous page, empty for the first.
+        """
--- a/src/magnoliapitch/ledger/submitter.py
+++ b/src/magnoliapitch/ledger/submitter.py
@@ -1,4 +1,4 @@
-"""Group commit of records that callers wait for."""
+"""Group commit: one append to the store for the records of many callers."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 APPEND_TIMEOUT_MS = 800
-RETRY_PAUSE_MS = 60
-BATCH_MAX_RECORDS = 128
-WAITING_MAX_RECORDS = 2_000
+RETRY_DELAY_MS = 60
+MAX_BATCH_RECORDS = 128
+MAX_QUEUED_RECORDS = 2_000
 RETRY_AFTER_MS = 1_000
 
 
-class _Entry:
+class _PendingAppend:
     def __init__(self, record: KeyedRecord, deadline_ms: int) -> None:
         self.record = record
         self.deadline_ms = deadline_ms
@@ -41,9 +41,10 @@
 
 
 class Submitter:
-    """Appends records of many callers together, each batch once.
+    """Appends the records of many callers in batches, each batch once.
 
-    :param producer: unique for each start of an instance.
+    :param stream: stream to append to.
+    :param producer: name for deduplication, unique for each process.
     """
 
     def __init__(
@@ -60,40 +61,47 @@
         self._clock = clock
         self._health = health
         self._condition = threading.Condition()
-        self._waiting: list[_Entry] = []
-        self._batch: list[_Entry] = []
-        # Whether an append of the batch may have reached the store.
-        self._is_unsure = False
+        self._queued: list[_PendingAppend] = []
+        self._batch: list[_PendingAppend] = []
+        # Whether the current batch may have been stored by a failed append.
+        self._may_be_stored = False
 
     def append(
         self, record: KeyedRecord, timeout_ms: int
     ) -> Result[None, Failure]:
-        """Store a record; return when its fate is known or time is up."""
-        entry = _Entry(record, self._clock.now_ms() + timeout_ms)
+        """Store a record and wait for the outcome.
+
+        :param timeout_ms: how long to wait; after that, the failure tells
+            whether the record may still be stored.
+        """
+        pending = _PendingAppend(record, self._clock.now_ms() + timeout_ms)
         with self._condition:
             if self._health.is_down():
-                return Err(_store_down())
-            if len(self._waiting) >= WAITING_MAX_RECORDS:
+                return Err(_store_unavailable())
+            if len(self._queued) >= MAX_QUEUED_RECORDS:
                 return Err(_overloaded())
-            self._waiting.append(entry)
+            self._queued.append(pending)
             self._condition.notify_all()
-            while entry.outcome is None:
-                left_ms = entry.deadline_ms - self._clock.now_ms()
-                if left_ms <= 0:
-                    return Err(self._give_up(entry))
-                self._condition.wait(left_ms / 1000)
-        return entry.outcome
+            while pending.outcome is None:
+                remaining_ms = pending.deadline_ms - self._clock.now_ms()
+                if remaining_ms <= 0:
+                    return Err(self._time_out(pending))
+                self._condition.wait(remaining_ms / 1000)
+        return pending.outcome
 
     def step(self) -> int:
-        """Append what waits; return milliseconds until the next call."""
+        """Append the current batch, or a new one of the queued records.
+
+        :return: pause until the next call, in milliseconds.
+        """
         with self._condition:
             if not self._batch:
-                if not self._waiting:
+                if not self._queued:
                     self._condition.wait(0.5)
-                self._batch = self._waiting[:BATCH_MAX_RECORDS]
-                del self._waiting[:BATCH_MAX_RECORDS]
-                for entry in self._batch:
-                    entry.is_sent = True
+                self._batch = self._queued[:MAX_BATCH_RECORDS]
+                del self._queued[:MAX_BATCH_RECORDS]
+                for pending in self._batch:
+                    pending.is_sent = True
         if not self._batch:
             return 0
         return self._append_batch()
@@ -102,7 +110,7 @@
         sent_ms = self._clock.now_ms()
         outcome = self._streams.append(
             self._stream,
-            [entry.record for entry in self._batch],
+            [pending.record for pending in self._batch],
             self._writer,
             timeout_ms=APPEND_TIMEOUT_MS,
         )
@@ -111,59 +119,72 @@
             self._writer = self._writer._replace(
                 sequence=self._writer.sequence + 1
             )
-            self._is_unsure = False
+            self._may_be_stored = False
             self._resolve(self._batch, Ok(None))
             self._batch = []
             return 0
         failure = outcome.err_value
         if failure.code in (FailureCode.SEQUENCE, FailureCode.FENCED):
-            # Records are keyed, so that a second append does no harm.
+            # Begin a new epoch and append the batch again: the records are
+            # keyed, so that a duplicate does no harm.
             self._writer = Writer(
                 self._writer.producer, self._writer.epoch + 1, 1
             )
             return 0
         self._health.note_failure(failure)
         if failure.verdict is not Verdict.NOT_RUN:
-            self._is_unsure = True
-        self._drop_unsent()
-        return RETRY_PAUSE_MS
+            self._may_be_stored = True
+        self._refuse_unsent()
+        return RETRY_DELAY_MS
 
-    def _drop_unsent(self) -> None:
-        """Refuse at once what has certainly not reached the store."""
+    def _refuse_unsent(self) -> None:
+        """Refuse records that are certainly not stored if the store is down.
+
+        Otherwise their callers would wait until their timeouts.
+        """
         if not self._health.is_down():
             return
         with self._condition:
-            unsent, self._waiting = self._waiting, []
-        refusal: Result[None, Failure] = Err(_store_down())
+            unsent, self._queued = self._queued, []
+        refusal: Result[None, Failure] = Err(_store_unavailable())
         self._resolve(unsent, refusal)
-        if not self._is_unsure:
+        if not self._may_be_stored:
             batch, self._batch = self._batch, []
             self._resolve(batch, refusal)
 
     def _resolve(
-        self, entries: list[_Entry], outcome: Result[None, Failure]
+        self,
+        pending_appends: list[_PendingAppend],
+        outcome: Result[None, Failure],
     ) -> None:
         with self._condition:
-            for entry in entries:
-                entry.outcome = outcome
+            for pending in pending_appends:
+                pending.outcome = outcome
             self._condition.notify_all()
 
-    def _give_up(self, entry: _Entry) -> Failure:
-        if not entry.is_sent:
-            self._waiting.remove(entry)
-            return _store_down()
+    def _time_out(self, pending: _PendingAppend) -> Failure:
+        if not pending.is_sent:
+            self._queued.remove(pending)
+            return _store_unavailable()
         return may_have_run(
-            FailureCode.TIMEOUT, "the store has not answered in time"
+            FailureCode.TIMEOUT,
+            "the store has not answered in time; the record may still be "
+            "stored",
         )
 
 
-def _store_down() -> Failure:
+def _store_unavailable() -> Failure:
     return not_run(
-        FailureCode.UNAVAILABLE, "the store does not answer", RETRY_AFTER_MS
+        FailureCode.UNAVAILABLE,
+        "the store does not answer; the record was not stored",
+        RETRY_AFTER_MS,
     )
 
 
 def _overloaded() -> Failure:
     return not_run(
-        FailureCode.OVERLOADED, "too many records wait", RETRY_AFTER_MS
+        FailureCode.OVERLOADED,
+        f"{MAX_QUEUED_RECORDS} records already wait for the store; the record "
+        "was not stored",
+        RETRY_AFTER_MS,
     )
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -15,7 +15,7 @@
 from magnoliapitch.control.controller import Controller
 from magnoliapitch.control.events import WorkersListed
 from magnoliapitch.control.timing import ControlTiming
-from magnoliapitch.ledger.job_table import Replica
+from magnoliapitch.ledger.job_table import JobTable
 from magnoliapitch.ledger.records import CANCEL_PREFIX
 from magnoliapitch.ledger.records import CANCELLED
 from magnoliapitch.ledger.records import JOB_PREFIX
@@ -104,7 +104,7 @@
         self.workers = {
             info.worker_id: SimulatedWorker(info, self) for info in workers
         }
-        self.replica = Replica()
+        self.replica = JobTable()
         self.states = StateTable()
         self.specs: dict[str, JobSpec] = {}
         self._events: list[tuple[int, int, Callable[[], None]]] = []
--- a/tests/ledger/test_job_api.py
+++ b/tests/ledger/test_job_api.py
@@ -6,9 +6,9 @@
 from result import Ok
 from result import Result
 
-from magnoliapitch.ledger.job_api import JobDesk
+from magnoliapitch.ledger.job_api import JobApi
 from magnoliapitch.ledger.state_table import JobState
-from magnoliapitch.ledger.state_table import ShownJob
+from magnoliapitch.ledger.state_table import PublishedJob
 from magnoliapitch.ledger.state_table import StateTable
 from magnoliapitch.metric import Metrics
 from magnoliapitch.verdict import Failure
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.states = StateTable()
         self.stored: dict[str, bytes] = {}
-        self.told: dict[str, ShownJob] = {}
+        self.told: dict[str, PublishedJob] = {}
         self.failure: Failure | None = None
         self.waited_ms = 0
 
@@ -54,12 +54,12 @@
     def wait(self, duration_ms: int) -> None:
         self.waited_ms += duration_ms
 
-    def desk(self) -> JobDesk:
-        return JobDesk(self.states, self, self.refresh, self.wait, Metrics())  # type: ignore[arg-type]
+    def desk(self) -> JobApi:
+        return JobApi(self.states, self, self.refresh, self.wait, Metrics())  # type: ignore[arg-type]
 
 
-def shown(state: JobState) -> ShownJob:
-    return ShownJob(state, "q")
+def shown(state: JobState) -> PublishedJob:
+    return PublishedJob(state, "q")
 
 
 def test_a_job_is_known_at_once_where_it_was_taken() -> None:
@@ -129,7 +129,7 @@
 
 def test_every_state_is_read_as_it_was_written() -> None:
     for state in JobState:
-        assert ShownJob.decode(shown(state).encode()) == shown(state)
+        assert PublishedJob.decode(shown(state).encode()) == shown(state)
 
 
 def test_an_unreadable_record_changes_nothing_else() -> None:
--- a/tests/ledger/test_leadership.py
+++ b/tests/ledger/test_leadership.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from magnoliapitch.ledger.leadership import LEADER_SILENCE_MS
+from magnoliapitch.ledger.leadership import LEADER_TIMEOUT_MS
 from magnoliapitch.ledger.leadership import Batch
 from magnoliapitch.ledger.leadership import Leadership
 from magnoliapitch.ledger.records import PROGRESS_STREAM
@@ -21,7 +21,7 @@
 
 
 RECORD = Batch((KeyedRecord("p.0", b"1"),), (KeyedRecord("s.0", b"pq"),))
-LONG_MS = 2 * LEADER_SILENCE_MS
+LONG_MS = 2 * LEADER_TIMEOUT_MS
 
 
 def lead(leadership: Leadership, clock: ManualClock) -> None:
@@ -49,7 +49,7 @@
     old, new = make_leadership("a"), make_leadership("b")
     lead(old, clock)
     lead(new, clock)
-    assert new.fence().is_ok()
+    assert new.fence_former_leaders().is_ok()
     outcome = old.commit(RECORD)
     assert isinstance(outcome, Err)
     assert outcome.err_value.code is FailureCode.FENCED
@@ -74,7 +74,7 @@
     leader, other = make_leadership("a"), make_leadership("b")
     lead(leader, clock)
     for _ in range(20):
-        clock.advance(LEADER_SILENCE_MS // 2)
+        clock.advance(LEADER_TIMEOUT_MS // 2)
         leader.commit(RECORD)
         other.step()
     assert other.claim is None
@@ -88,7 +88,7 @@
     other.step()
     leader.resign()
     other.step()
-    clock.advance(LEADER_SILENCE_MS // 2)
+    clock.advance(LEADER_TIMEOUT_MS // 2)
     other.step()
     assert other.claim is not None
 
@@ -129,7 +129,7 @@
     old, new = make_leadership("a"), make_leadership("b")
     lead(old, clock)
     lead(new, clock)
-    assert new.fence().is_ok()
+    assert new.fence_former_leaders().is_ok()
     assert old.commit(Batch(RECORD.progress)).is_err()
     assert streams.keys(PROGRESS_STREAM) == []
 
@@ -144,7 +144,7 @@
     other.step()
     streams.refuse = not_run(FailureCode.UNAVAILABLE, "away")
     for _ in range(10):
-        clock.advance(LEADER_SILENCE_MS // 2)
+        clock.advance(LEADER_TIMEOUT_MS // 2)
         other.step()
     streams.refuse = None
     other.step()
