--- a/tests/ledger/memory_streams.py
+++ b/tests/ledger/memory_streams.py
@@ -1,4 +1,4 @@
-"""Keyed streams in memory, with faults on demand."""
+"""Keyed streams in memory, with faults that a test can switch on."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     from collections.abc import Sequence
 
 
-REMEMBERED_APPENDS = 5
-PAGE_RECORDS = 3
+REMEMBERED_APPEND_COUNT = 5
+PAGE_RECORD_COUNT = 3
 
 
 class _Stream:
@@ -37,15 +37,17 @@
 
 
 class MemoryStreams:
-    """Follows the contract of the streams; one page holds few records.
+    """Implements ``KeyedStreams`` with small pages.
 
-    :ivar refuse: failure of every call, as if the store were away.
-    :ivar lose_answers: appends that are carried out without an answer.
+    :ivar outage: failure that every call returns, or None.
+    :ivar answers_to_lose: number of appends that are carried out but fail
+        with a timeout.
+    :ivar appends: number of calls to append.
     """
 
     def __init__(self) -> None:
-        self.refuse: Failure | None = None
-        self.lose_answers = 0
+        self.outage: Failure | None = None
+        self.answers_to_lose = 0
         self.appends = 0
         self._by_name: dict[str, _Stream] = {}
 
@@ -59,29 +61,33 @@
     ) -> Result[Appended, Failure]:
         del timeout_ms
         self.appends += 1
-        if self.refuse:
-            return Err(self.refuse)
-        found = self._stream(stream)
+        if self.outage:
+            return Err(self.outage)
+        content = self._stream(stream)
         if writer is not None:
-            answer = self._check_writer(found, writer)
+            answer = self._check_writer(content, writer)
             if answer is not None:
                 return answer
-        end = len(found.records)
+        end = len(content.records)
         if expected_end is not None and expected_end != end:
-            return Err(not_run(FailureCode.CONFLICT, f"ends at {end}"))
-        found.records += [
+            return Err(
+                not_run(FailureCode.CONFLICT, f"the stream ends at {end}")
+            )
+        content.records += [
             StoredRecord(end + number, *record)
             for number, record in enumerate(records)
         ]
-        appended = Appended(end, len(found.records))
+        appended = Appended(end, len(content.records))
         if writer is not None:
-            found.epoch_by_producer[writer.producer] = writer.epoch
-            found.answers_by_producer.setdefault(writer.producer, []).append(
+            content.epoch_by_producer[writer.producer] = writer.epoch
+            content.answers_by_producer.setdefault(writer.producer, []).append(
                 (writer.sequence, appended)
             )
-        if self.lose_answers:
-            self.lose_answers -= 1
-            return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
+            return Err(
+                may_have_run(FailureCode.TIMEOUT, "the store has not answered")
+            )
         return Ok(appended)
 
     def read(
@@ -92,35 +98,37 @@
         timeout_ms: int = 1_000,
     ) -> Result[StreamSlice, Failure]:
         del wait_ms, timeout_ms
-        if self.refuse:
-            return Err(self.refuse)
-        found = self._stream(stream)
-        if from_offset < found.first:
-            return Err(not_run(FailureCode.TRUNCATED, "expired"))
-        records = tuple(found.records[from_offset:])
-        return Ok(StreamSlice(records, found.first, len(found.records)))
+        if self.outage:
+            return Err(self.outage)
+        content = self._stream(stream)
+        if from_offset < content.first:
+            return Err(
+                not_run(FailureCode.TRUNCATED, "the records have expired")
+            )
+        records = tuple(content.records[from_offset:])
+        return Ok(StreamSlice(records, content.first, len(content.records)))
 
     def newest(
         self, stream: str, after_key: str = "", timeout_ms: int = 1_000
     ) -> Result[NewestPage, Failure]:
         del timeout_ms
-        if self.refuse:
-            return Err(self.refuse)
-        found = self._stream(stream)
-        newest = {record.key: record for record in found.records}
-        rows = [
+        if self.outage:
+            return Err(self.outage)
+        content = self._stream(stream)
+        newest = {record.key: record for record in content.records}
+        present = [
             newest[key]
             for key in sorted(newest)
             if key > after_key and newest[key].value
         ]
-        page = tuple(rows[:PAGE_RECORDS])
-        has_more = len(rows) > PAGE_RECORDS
-        return Ok(NewestPage(page, has_more, len(found.records)))
+        page = tuple(present[:PAGE_RECORD_COUNT])
+        has_more = len(present) > PAGE_RECORD_COUNT
+        return Ok(NewestPage(page, has_more, len(content.records)))
 
     def expire(self, stream: str) -> None:
-        """Drop the history; the newest record of each key stays."""
-        found = self._stream(stream)
-        found.first = len(found.records)
+        """Expire all records but the newest of each key."""
+        content = self._stream(stream)
+        content.first = len(content.records)
 
     def keys(self, stream: str) -> list[str]:
         """Return the key of every record ever appended."""
@@ -135,13 +143,19 @@
         epoch = stream.epoch_by_producer.get(writer.producer, -1)
         answers = stream.answers_by_producer.get(writer.producer, [])
         if writer.epoch < epoch:
-            return Err(not_run(FailureCode.FENCED, f"epoch {epoch}"))
+            return Err(
+                not_run(
+                    FailureCode.FENCED, f"the store has seen epoch {epoch}"
+                )
+            )
         if writer.epoch > epoch:
             answers.clear()
             return None
-        for sequence, answer in answers[-REMEMBERED_APPENDS:]:
+        for sequence, answer in answers[-REMEMBERED_APPEND_COUNT:]:
             if sequence == writer.sequence:
                 return Ok(answer)
         if answers and writer.sequence != answers[-1][0] + 1:
-            return Err(not_run(FailureCode.SEQUENCE, "not the next"))
+            return Err(
+                not_run(FailureCode.SEQUENCE, "not the next sequence number")
+            )
         return None
--- a/tests/ledger/test_job_api.py
+++ b/tests/ledger/test_job_api.py
@@ -27,13 +27,13 @@
 TIMEOUT_MS = 1_000
 
 
-class Store:
-    """Takes appends; the leader tells of them at a refresh."""
+class FakeStore:
+    """Takes appends; a refresh reads the states in ``published``."""
 
     def __init__(self) -> None:
         self.states = StateTable()
         self.stored: dict[str, bytes] = {}
-        self.told: dict[str, PublishedJob] = {}
+        self.published: dict[str, PublishedJob] = {}
         self.failure: Failure | None = None
         self.waited_ms = 0
 
@@ -47,89 +47,93 @@
     def refresh(self) -> Result[None, Failure]:
         if self.failure:
             return Err(self.failure)
-        for job_id, job in self.told.items():
+        for job_id, job in self.published.items():
             self.states.put(job_id, job)
         return Ok(None)
 
     def wait(self, duration_ms: int) -> None:
         self.waited_ms += duration_ms
 
-    def desk(self) -> JobApi:
+    def job_api(self) -> JobApi:
         return JobApi(self.states, self, self.refresh, self.wait, Metrics())  # type: ignore[arg-type]
 
 
-def shown(state: JobState) -> PublishedJob:
+def published_job(state: JobState) -> PublishedJob:
     return PublishedJob(state, "q")
 
 
-def test_a_job_is_known_at_once_where_it_was_taken() -> None:
-    desk = Store().desk()
-    assert desk.submit(JOB, TIMEOUT_MS).is_ok()
-    assert desk.state("0a", TIMEOUT_MS).unwrap() is JobState.PENDING
+def test_job_is_known_at_once_on_the_accepting_instance() -> None:
+    job_api = FakeStore().job_api()
+    assert job_api.submit(JOB, TIMEOUT_MS).is_ok()
+    assert job_api.state("0a", TIMEOUT_MS).unwrap() is JobState.PENDING
 
 
-def test_a_job_is_known_elsewhere_once_the_leader_has_told() -> None:
-    store = Store()
-    store.told["0a"] = shown(JobState.RUNNING)
-    assert store.desk().state("0a", TIMEOUT_MS).unwrap() is JobState.RUNNING
-    store.told["0a"] = shown(JobState.COMPLETED)
+def test_job_is_known_elsewhere_once_its_state_is_published() -> None:
+    store = FakeStore()
+    store.published["0a"] = published_job(JobState.RUNNING)
+    assert store.job_api().state("0a", TIMEOUT_MS).unwrap() is JobState.RUNNING
+    store.published["0a"] = published_job(JobState.COMPLETED)
     store.refresh()
-    assert store.desk().state("0a", TIMEOUT_MS).unwrap() is JobState.COMPLETED
+    assert (
+        store.job_api().state("0a", TIMEOUT_MS).unwrap() is JobState.COMPLETED
+    )
 
 
 def test_a_job_submitted_again_is_stored_once() -> None:
-    store = Store()
-    desk = store.desk()
-    desk.submit(JOB, TIMEOUT_MS)
+    store = FakeStore()
+    job_api = store.job_api()
+    job_api.submit(JOB, TIMEOUT_MS)
     store.stored.clear()
-    assert desk.submit(JOB, TIMEOUT_MS).is_ok()
-    store.told["0b"] = shown(JobState.COMPLETED)
+    assert job_api.submit(JOB, TIMEOUT_MS).is_ok()
+    store.published["0b"] = published_job(JobState.COMPLETED)
     store.refresh()
     again = JOB._replace(job_id="0b")
-    assert store.desk().submit(again, TIMEOUT_MS).is_ok()
+    assert store.job_api().submit(again, TIMEOUT_MS).is_ok()
     assert not store.stored
 
 
-def test_an_unknown_job_is_gone_only_after_the_leader_had_time() -> None:
-    store = Store()
-    assert store.desk().state("0b", TIMEOUT_MS).unwrap() is None
+def test_unknown_job_is_reported_missing_only_after_a_wait() -> None:
+    store = FakeStore()
+    assert store.job_api().state("0b", TIMEOUT_MS).unwrap() is None
     assert store.waited_ms > 0
 
 
-def test_an_unknown_job_is_not_called_gone_without_the_store() -> None:
-    store = Store()
-    store.failure = not_run(FailureCode.UNAVAILABLE, "away")
-    failure = store.desk().state("0b", TIMEOUT_MS).unwrap_err()
+def test_unknown_job_is_not_reported_missing_during_a_store_outage() -> None:
+    store = FakeStore()
+    store.failure = not_run(FailureCode.UNAVAILABLE, "the store is down")
+    failure = store.job_api().state("0b", TIMEOUT_MS).unwrap_err()
     assert failure.verdict is Verdict.NOT_RUN
     assert failure.retry_after_ms
-    assert store.desk().cancel("0b", TIMEOUT_MS).is_err()
+    assert store.job_api().cancel("0b", TIMEOUT_MS).is_err()
 
 
 def test_a_cancellation_is_stored_unless_the_job_has_ended() -> None:
-    store = Store()
-    store.told = {
-        "0a": shown(JobState.RUNNING),
-        "0b": shown(JobState.COMPLETED),
+    store = FakeStore()
+    store.published = {
+        "0a": published_job(JobState.RUNNING),
+        "0b": published_job(JobState.COMPLETED),
     }
-    desk = store.desk()
-    assert desk.cancel("0a", TIMEOUT_MS).unwrap() is True
-    assert desk.cancel("0b", TIMEOUT_MS).unwrap() is True
-    assert desk.cancel("0c", TIMEOUT_MS).unwrap() is False
+    job_api = store.job_api()
+    assert job_api.cancel("0a", TIMEOUT_MS).unwrap() is True
+    assert job_api.cancel("0b", TIMEOUT_MS).unwrap() is True
+    assert job_api.cancel("0c", TIMEOUT_MS).unwrap() is False
     assert list(store.stored) == ["c.0a"]
 
 
 def test_pending_counts_jobs_that_have_not_begun() -> None:
     states = StateTable()
     for name in ("0a", "0b", "0c"):
-        states.put(name, shown(JobState.PENDING))
-    states.put("0a", shown(JobState.RUNNING))
+        states.put(name, published_job(JobState.PENDING))
+    states.put("0a", published_job(JobState.RUNNING))
     states.put("0b", None)
     assert states.pending("q") == 1
 
 
 def test_every_state_is_read_as_it_was_written() -> None:
     for state in JobState:
-        assert PublishedJob.decode(shown(state).encode()) == shown(state)
+        assert PublishedJob.decode(
+            published_job(state).encode()
+        ) == published_job(state)
 
 
 def test_an_unreadable_record_changes_nothing_else() -> None:
@@ -138,4 +142,4 @@
     states.apply(values, list(values))
     assert states.get("0a") is None
     assert states.get("0b") is None
-    assert states.get("0c") == shown(JobState.PENDING)
+    assert states.get("0c") == published_job(JobState.PENDING)
--- a/tests/ledger/test_leadership.py
+++ b/tests/ledger/test_leadership.py
@@ -20,13 +20,13 @@
     from tests.ledger.memory_streams import MemoryStreams
 
 
-RECORD = Batch((KeyedRecord("p.0", b"1"),), (KeyedRecord("s.0", b"pq"),))
-LONG_MS = 2 * LEADER_TIMEOUT_MS
+BATCH = Batch((KeyedRecord("p.0", b"1"),), (KeyedRecord("s.0", b"pq"),))
+AFTER_TIMEOUT_MS = 2 * LEADER_TIMEOUT_MS
 
 
-def lead(leadership: Leadership, clock: ManualClock) -> None:
+def become_leader(leadership: Leadership, clock: ManualClock) -> None:
     leadership.step()
-    clock.advance(LONG_MS)
+    clock.advance(AFTER_TIMEOUT_MS)
     leadership.step()
     assert leadership.claim is not None
 
@@ -37,7 +37,7 @@
     first, second = make_leadership("a"), make_leadership("b")
     first.step()
     second.step()
-    clock.advance(LONG_MS)
+    clock.advance(AFTER_TIMEOUT_MS)
     first.step()
     second.step()
     assert (first.claim is None) != (second.claim is None)
@@ -47,22 +47,22 @@
     make_leadership: MakeLeadership, clock: ManualClock
 ) -> None:
     old, new = make_leadership("a"), make_leadership("b")
-    lead(old, clock)
-    lead(new, clock)
+    become_leader(old, clock)
+    become_leader(new, clock)
     assert new.fence_former_leaders().is_ok()
-    outcome = old.commit(RECORD)
+    outcome = old.commit(BATCH)
     assert isinstance(outcome, Err)
     assert outcome.err_value.code is FailureCode.FENCED
-    assert new.commit(RECORD).is_ok()
+    assert new.commit(BATCH).is_ok()
 
 
-def test_a_higher_epoch_follows_every_claim(
+def test_each_claim_has_a_higher_epoch(
     make_leadership: MakeLeadership, clock: ManualClock
 ) -> None:
     epochs = []
     for name in ("a", "b", "c", "a"):
         leadership = make_leadership(name)
-        lead(leadership, clock)
+        become_leader(leadership, clock)
         assert leadership.claim is not None
         epochs.append(leadership.claim.record.epoch)
     assert epochs == sorted(set(epochs))
@@ -72,19 +72,19 @@
     make_leadership: MakeLeadership, clock: ManualClock
 ) -> None:
     leader, other = make_leadership("a"), make_leadership("b")
-    lead(leader, clock)
+    become_leader(leader, clock)
     for _ in range(20):
         clock.advance(LEADER_TIMEOUT_MS // 2)
-        leader.commit(RECORD)
+        leader.commit(BATCH)
         other.step()
     assert other.claim is None
 
 
-def test_a_resigned_leader_is_replaced_without_the_wait(
+def test_a_resigned_leader_is_replaced_before_the_timeout(
     make_leadership: MakeLeadership, clock: ManualClock
 ) -> None:
     leader, other = make_leadership("a"), make_leadership("b")
-    lead(leader, clock)
+    become_leader(leader, clock)
     other.step()
     leader.resign()
     other.step()
@@ -93,15 +93,15 @@
     assert other.claim is not None
 
 
-def test_nobody_claims_while_the_store_is_away(
+def test_nobody_claims_during_a_store_outage(
     make_leadership: MakeLeadership,
     clock: ManualClock,
     streams: MemoryStreams,
 ) -> None:
     leadership = make_leadership("a")
     leadership.step()
-    streams.refuse = not_run(FailureCode.UNAVAILABLE, "away")
-    clock.advance(LONG_MS)
+    streams.outage = not_run(FailureCode.UNAVAILABLE, "the store is down")
+    clock.advance(AFTER_TIMEOUT_MS)
     leadership.step()
     assert leadership.claim is None
 
@@ -112,10 +112,10 @@
     streams: MemoryStreams,
 ) -> None:
     leadership = make_leadership("a")
-    lead(leadership, clock)
-    for lost in (1, 2):
-        streams.lose_answers = lost
-        while leadership.commit(RECORD).is_err():
+    become_leader(leadership, clock)
+    for lost_count in (1, 2):
+        streams.answers_to_lose = lost_count
+        while leadership.commit(BATCH).is_err():
             pass
     assert streams.keys(PROGRESS_STREAM).count("p.0") == 2
     assert streams.keys(STATE_STREAM).count("s.0") == 2
@@ -127,31 +127,31 @@
     streams: MemoryStreams,
 ) -> None:
     old, new = make_leadership("a"), make_leadership("b")
-    lead(old, clock)
-    lead(new, clock)
+    become_leader(old, clock)
+    become_leader(new, clock)
     assert new.fence_former_leaders().is_ok()
-    assert old.commit(Batch(RECORD.progress)).is_err()
+    assert old.commit(Batch(BATCH.progress)).is_err()
     assert streams.keys(PROGRESS_STREAM) == []
 
 
-def test_an_outage_of_the_store_is_not_the_leader_s_silence(
+def test_store_outage_does_not_count_as_silence_of_the_leader(
     make_leadership: MakeLeadership,
     clock: ManualClock,
     streams: MemoryStreams,
 ) -> None:
     leader, other = make_leadership("a"), make_leadership("b")
-    lead(leader, clock)
+    become_leader(leader, clock)
     other.step()
-    streams.refuse = not_run(FailureCode.UNAVAILABLE, "away")
+    streams.outage = not_run(FailureCode.UNAVAILABLE, "the store is down")
     for _ in range(10):
         clock.advance(LEADER_TIMEOUT_MS // 2)
         other.step()
-    streams.refuse = None
+    streams.outage = None
     other.step()
     assert other.claim is None
-    assert leader.commit(RECORD).is_ok()
+    assert leader.commit(BATCH).is_ok()
     other.step()
     assert other.claim is None
-    clock.advance(LONG_MS)
+    clock.advance(AFTER_TIMEOUT_MS)
     other.step()
     assert other.claim is not None
--- a/tests/ledger/test_mirror.py
+++ b/tests/ledger/test_mirror.py
@@ -22,7 +22,7 @@
     return mirror.refresh().unwrap()
 
 
-def test_refresh_loads_every_page_then_only_news(
+def test_refresh_loads_every_page_then_only_new_records(
     streams: MemoryStreams,
 ) -> None:
     for number in range(8):
@@ -49,13 +49,13 @@
     assert set(mirror.values_by_key) == {"kept", "new"}
 
 
-def test_refresh_keeps_what_it_knows_while_the_store_is_away(
+def test_refresh_keeps_values_during_a_store_outage(
     streams: MemoryStreams,
 ) -> None:
     put(streams, "k", b"1")
     mirror = StreamMirror(streams, "s")
     changed(mirror)
-    streams.refuse = not_run(FailureCode.UNAVAILABLE, "away")
+    streams.outage = not_run(FailureCode.UNAVAILABLE, "the store is down")
     assert isinstance(mirror.refresh(), Err)
     assert mirror.values_by_key == {"k": b"1"}
 
--- a/tests/ledger/test_submitter.py
+++ b/tests/ledger/test_submitter.py
@@ -33,10 +33,10 @@
 
 
 class Caller:
-    """Submits from threads of its own, while the test drives the steps."""
+    """Appends from its own threads, while the test calls ``step``."""
 
     def __init__(self, streams: MemoryStreams) -> None:
-        self.clock = _Clock()
+        self.clock = _SkippableClock()
         self.health = StoreHealth(self.clock)
         self.health.note_success(0)
         self.submitter = Submitter(
@@ -60,7 +60,7 @@
         self._pool.shutdown(wait=False)
 
 
-class _Clock(MonotonicClock):
+class _SkippableClock(MonotonicClock):
     skipped_ms = 0
 
     def now_ms(self) -> int:
@@ -69,9 +69,9 @@
 
 @pytest.fixture
 def caller(streams: MemoryStreams) -> Iterator[Caller]:
-    made = Caller(streams)
-    yield made
-    made.close()
+    created = Caller(streams)
+    yield created
+    created.close()
 
 
 def step_until_done(caller: Caller, outcomes: list[Outcome]) -> None:
@@ -79,10 +79,10 @@
         if all(outcome.done() for outcome in outcomes):
             return
         caller.submitter.step()
-    raise AssertionError("not answered")
+    raise AssertionError("some appends have no outcome after 1000 steps")
 
 
-def test_callers_share_an_append(
+def test_records_of_several_callers_share_an_append(
     caller: Caller, streams: MemoryStreams
 ) -> None:
     outcomes = [caller.submit(f"k{number}") for number in range(20)]
@@ -94,21 +94,21 @@
     assert streams.appends < 20
 
 
-def test_a_lost_answer_is_asked_for_again_and_stored_once(
+def test_append_without_an_answer_is_repeated_and_stored_once(
     caller: Caller, streams: MemoryStreams
 ) -> None:
-    streams.lose_answers = 2
+    streams.answers_to_lose = 2
     outcome = caller.submit("k")
     step_until_done(caller, [outcome])
     assert outcome.result().is_ok()
     assert streams.keys("jobs") == ["k"]
 
 
-def test_refused_at_once_while_the_store_is_known_to_be_away(
+def test_append_is_refused_at_once_while_the_store_is_down(
     caller: Caller, streams: MemoryStreams
 ) -> None:
-    away = not_run(FailureCode.UNAVAILABLE, "away")
-    streams.refuse = away
+    away = not_run(FailureCode.UNAVAILABLE, "the store is down")
+    streams.outage = away
     caller.health.note_failure(away)
     caller.clock.skipped_ms = DOWN_AFTER_MS + 1
     failure = caller.submit("k").result(5).unwrap_err()
@@ -117,28 +117,30 @@
     assert streams.appends == 0
 
 
-def test_never_called_refused_once_it_may_be_stored(
+def test_record_that_may_be_stored_is_not_reported_as_not_run(
     caller: Caller, streams: MemoryStreams
 ) -> None:
-    streams.refuse = may_have_run(FailureCode.TIMEOUT, "no answer")
+    streams.outage = may_have_run(
+        FailureCode.TIMEOUT, "the store has not answered"
+    )
     outcome = caller.submit("k", timeout_ms=300)
     caller.submitter.step()
-    streams.refuse = not_run(FailureCode.UNAVAILABLE, "away")
+    streams.outage = not_run(FailureCode.UNAVAILABLE, "the store is down")
     caller.clock.skipped_ms = DOWN_AFTER_MS + 1
     caller.submitter.step()
     failure = outcome.result(5).unwrap_err()
     assert failure.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_a_batch_that_never_left_is_refused_as_not_run(
+def test_batch_that_is_certainly_not_stored_is_refused_as_not_run(
     caller: Caller, streams: MemoryStreams
 ) -> None:
-    streams.refuse = not_run(FailureCode.UNAVAILABLE, "away")
+    streams.outage = not_run(FailureCode.UNAVAILABLE, "the store is down")
     outcome = caller.submit("k")
     caller.submitter.step()
     caller.clock.skipped_ms = DOWN_AFTER_MS + 1
     step_until_done(caller, [outcome])
     assert outcome.result().unwrap_err().verdict is Verdict.NOT_RUN
-    streams.refuse = None
+    streams.outage = None
     caller.submitter.step()
     assert streams.keys("jobs") == []
