--- a/src/magnoliapitch/platform/__init__.py
+++ b/src/magnoliapitch/platform/__init__.py
@@ -1,13 +1,14 @@
-"""Translation between the product and the users' platform.
+"""Adapters to the users' platform.
 
-Everything that the platform names in its own way is decoded here, once.
+Paths, fields and names of the platform's protocols are translated here, and
+only here, into the project's own types.
 """
 
 from __future__ import annotations
 
 from magnoliapitch.platform.advisor import PlatformAdvisor
 from magnoliapitch.platform.directory import PlatformDirectory
-from magnoliapitch.platform.job_application import front_application
+from magnoliapitch.platform.job_application import job_application
 from magnoliapitch.platform.store import PlatformStore
 from magnoliapitch.platform.workers import PlatformWorkers
 
@@ -17,5 +18,5 @@
     "PlatformDirectory",
     "PlatformStore",
     "PlatformWorkers",
-    "front_application",
+    "job_application",
 ]
--- a/src/magnoliapitch/platform/advisor.py
+++ b/src/magnoliapitch/platform/advisor.py
@@ -1,4 +1,4 @@
-"""The platform's advice service as the advisor."""
+"""Client of the platform's advice service."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class PlatformAdvisor:
-    """Asks which workers may run a step.
+    """Asks the advice service which workers may run a step.
 
     :param address: ``IP:PORT`` of the service.
     """
@@ -41,16 +41,19 @@
     def permits(
         self, step: StepKey, worker_ids: Sequence[str], timeout_ms: int
     ) -> Result[tuple[Permit, ...], Failure]:
-        """Return the permits among the given workers (at most 100)."""
+        """Return permits for those of the workers that may run the step.
+
+        :param worker_ids: at most 100 workers.
+        """
         body = {"step": encode_step(step), "workers": list(worker_ids)}
         reply = self._client.exchange(
             "POST", self._url, timeout_ms, orjson.dumps(body), JSON_HEADERS
         )
-        return reply.and_then(_permits_from)
+        return reply.and_then(_decode_permits)
 
 
-def _permits_from(reply: HttpReply) -> Result[tuple[Permit, ...], Failure]:
-    detail = f"the advisor answered {reply.status}"
+def _decode_permits(reply: HttpReply) -> Result[tuple[Permit, ...], Failure]:
+    detail = f"the advice service answered with status {reply.status}"
     if reply.status == 429:
         return Err(not_run(FailureCode.OVERLOADED, detail))
     if reply.status != 200:
--- a/src/magnoliapitch/platform/configuration.py
+++ b/src/magnoliapitch/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform writes it."""
+"""Decoding of the operators' configuration in the platform's format."""
 
 from __future__ import annotations
 
@@ -15,25 +15,27 @@
 DEFAULT_LIMITS = RequestLimits()
 
 
-def configuration_from(body: Any) -> Configuration:
+def decode_configuration(body: Any) -> Configuration:
     """Decode a configuration.
 
-    :raises KeyError, TypeError, ValueError: if it cannot be read.
+    :param body: parsed JSON.
+    :raises KeyError, TypeError, ValueError: if a field is missing or has a
+        wrong type or value.
     """
-    queues = [_queue_from(route) for route in body["routes"]]
-    services = [_service_from(service) for service in body["services"]]
+    queues = [_decode_queue(route) for route in body["routes"]]
+    services = [_decode_service(service) for service in body["services"]]
     return Configuration(
         int(body["version"]),
         {queue.name: queue for queue in queues},
         {service.name: service for service in services},
-        _limits_from(body.get("limits") or {}),
+        _decode_limits(body.get("limits") or {}),
     )
 
 
-def resources_from(fields: Any) -> Resources:
-    """Decode an amount; absent parts are 0.
+def decode_resources(fields: Any) -> Resources:
+    """Decode amounts of resources; absent ones are 0.
 
-    :raises TypeError, ValueError: if a part is not a whole number.
+    :raises TypeError, ValueError: if an amount is not a number or is negative.
     """
     amount = Resources(
         int(fields.get("cpu") or 0),
@@ -41,11 +43,11 @@
         int(fields.get("gpu") or 0),
     )
     if min(amount) < 0:
-        raise ValueError(f"negative amount {amount}")
+        raise ValueError(f"negative resource amount in {amount}")
     return amount
 
 
-def _queue_from(route: Any) -> Queue:
+def _decode_queue(route: Any) -> Queue:
     return Queue(
         route["name"],
         route["host"],
@@ -56,11 +58,11 @@
         float(route.get("stretch") or 1.0),
         float(route.get("target-duration-ms") or 0.0),
         int(route.get("timeout-ms") or 3_000),
-        _advice_from(route.get("advice")),
+        _decode_advice(route.get("advice")),
     )
 
 
-def _advice_from(advice: Any) -> AdvicePolicy | None:
+def _decode_advice(advice: Any) -> AdvicePolicy | None:
     if not advice:
         return None
     return AdvicePolicy(
@@ -70,7 +72,7 @@
     )
 
 
-def _service_from(service: Any) -> Service:
+def _decode_service(service: Any) -> Service:
     return Service(
         service["name"],
         bool(service.get("admission-check")),
@@ -80,7 +82,7 @@
     )
 
 
-def _limits_from(limits: Any) -> RequestLimits:
+def _decode_limits(limits: Any) -> RequestLimits:
     return RequestLimits(
         int(limits.get("max-header-bytes") or DEFAULT_LIMITS.header_bytes),
         int(limits.get("max-body-bytes") or DEFAULT_LIMITS.body_bytes),
--- a/src/magnoliapitch/platform/framing.py
+++ b/src/magnoliapitch/platform/framing.py
@@ -1,4 +1,8 @@
-"""Records of the platform's log as bytes: length, key, value."""
+"""Binary encoding of the records of the platform's log.
+
+A record is its length (4 bytes), the length of its key (1 byte), the key and
+the value. Numbers are big-endian.
+"""
 
 from __future__ import annotations
 
@@ -13,27 +17,27 @@
     from collections.abc import Iterable
 
 
-_LENGTH = struct.Struct(">I")
-_READ_HEAD = struct.Struct(">QQ")
-KEY_MAX_BYTES = 255
+_LENGTH_PREFIX = struct.Struct(">I")
+_READ_HEADER = struct.Struct(">QQ")
+MAX_KEY_BYTES = 255
 
 
-class DamagedReplyError(ValueError):
-    """An answer whose records cannot be told apart."""
+class MalformedReplyError(ValueError):
+    """Raised when an answer ends inside its header or a record."""
 
 
 def encode_records(records: Iterable[KeyedRecord]) -> bytes:
-    """Return the body of an append to a keyed topic.
+    """Encode records as the body of an append to a keyed topic.
 
-    :raises ValueError: if a key is empty or too long.
+    :raises ValueError: if a key is empty or longer than 255 bytes.
     """
     parts: list[bytes] = []
     for record in records:
         key = record.key.encode()
-        if not 0 < len(key) <= KEY_MAX_BYTES:
+        if not 0 < len(key) <= MAX_KEY_BYTES:
             raise ValueError(f"key of {len(key)} bytes: 1 to 255 are allowed")
         parts += (
-            _LENGTH.pack(1 + len(key) + len(record.value)),
+            _LENGTH_PREFIX.pack(1 + len(key) + len(record.value)),
             bytes((len(key),)),
             key,
             record.value,
@@ -42,25 +46,33 @@
 
 
 def decode_read(data: bytes) -> tuple[int, int, list[KeyedRecord]]:
-    """Decode a read: end of the partition, first offset, records.
+    """Decode the answer to a read.
 
-    :raises DamagedReplyError: if the bytes end inside a record.
+    :return: end of the partition, lowest offset that can be read, records.
+    :raises MalformedReplyError: if the data end inside the header or a record.
     """
-    if len(data) < _READ_HEAD.size:
-        raise DamagedReplyError("the answer has no head")
-    end, first = _READ_HEAD.unpack_from(data)
+    if len(data) < _READ_HEADER.size:
+        raise MalformedReplyError(
+            f"the answer has {len(data)} bytes, but its header alone has "
+            f"{_READ_HEADER.size}"
+        )
+    end, first = _READ_HEADER.unpack_from(data)
     records: list[KeyedRecord] = []
-    position = _READ_HEAD.size
-    while position < len(data):
-        stop = position + _LENGTH.size
+    start = _READ_HEADER.size
+    while start < len(data):
+        stop = start + _LENGTH_PREFIX.size
         if stop > len(data):
-            raise DamagedReplyError("the answer ends inside a length")
-        (length,) = _LENGTH.unpack_from(data, position)
-        position, stop = stop, stop + length
+            raise MalformedReplyError(
+                f"the answer ends inside the record length at byte {start}"
+            )
+        (length,) = _LENGTH_PREFIX.unpack_from(data, start)
+        start, stop = stop, stop + length
         if stop > len(data):
-            raise DamagedReplyError("the answer ends inside a record")
-        records.append(_decode_record(data[position:stop]))
-        position = stop
+            raise MalformedReplyError(
+                f"the answer ends inside the record at byte {start}"
+            )
+        records.append(_decode_record(data[start:stop]))
+        start = stop
     return end, first, records
 
 
--- a/src/magnoliapitch/platform/job_application.py
+++ b/src/magnoliapitch/platform/job_application.py
@@ -1,4 +1,4 @@
-"""The platform's calls for jobs, translated to the job desk."""
+"""HTTP application for the platform's calls about jobs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from magnoliapitch.http import HttpResponse
 from magnoliapitch.http import json_response
 from magnoliapitch.http import problem_response
-from magnoliapitch.platform.configuration import resources_from
+from magnoliapitch.platform.configuration import decode_resources
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -24,40 +24,52 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.ledger.job_api import JobDesk
+    from magnoliapitch.ledger.job_api import JobApi
     from magnoliapitch.workload.configuration import Queue
 
 
 DEADLINE_HEADER = "x-magnoliapitch-deadline-ms"
-ID_MAX_CHARS = 64
+MAX_JOB_ID_CHARS = 64
 STATUS_GONE = 410
 
 
-def front_application(desk: JobDesk, body_max_bytes: int) -> Application:
-    """Return the application that callers of the platform speak to."""
-    return _FrontApplication(desk, body_max_bytes)
+def job_application(job_api: JobApi, body_max_bytes: int) -> Application:
+    """Build the HTTP application that callers of the platform use.
 
+    :param body_max_bytes: largest accepted request body.
+    """
+    return _JobApplication(job_api, body_max_bytes)
 
-class _FrontApplication(Application):
-    def __init__(self, desk: JobDesk, body_max_bytes: int) -> None:
-        super().__init__(body_max_bytes, desk.is_closing)
-        self._desk = desk
+
+class _JobApplication(Application):
+    def __init__(self, job_api: JobApi, body_max_bytes: int) -> None:
+        super().__init__(body_max_bytes, job_api.is_closing)
+        self._job_api = job_api
 
     def handle(self, request: HttpRequest) -> HttpResponse:
-        configuration = self._desk.configuration()
+        configuration = self._job_api.configuration()
         if configuration is None:
-            return _answer_failure(
-                not_run(FailureCode.UNAVAILABLE, "no configuration yet", 1_000)
+            return _failure_response(
+                not_run(
+                    FailureCode.UNAVAILABLE,
+                    "no configuration was read yet",
+                    1_000,
+                )
             )
         host = request.headers_by_name.get("host", "").partition(":")[0]
         queue = configuration.queue_for(host, request.path)
         if queue is None:
-            return _answer_failure(
-                not_run(FailureCode.NOT_FOUND, f"no queue at {request.path}")
+            return _failure_response(
+                not_run(
+                    FailureCode.NOT_FOUND,
+                    f"no queue serves host {host!r} and path {request.path}",
+                )
             )
         job_id = request.path[len(queue.path_prefix) :]
         if not job_id:
-            return json_response({"pending-jobs": self._desk.pending(queue)})
+            return json_response(
+                {"pending-jobs": self._job_api.pending(queue)}
+            )
         return self._handle_job(request, queue, job_id)
 
     def _handle_job(
@@ -70,39 +82,43 @@
             return self._state(job_id, timeout_ms)
         if request.method == "DELETE":
             return self._cancel(job_id, timeout_ms)
-        return _answer_failure(
-            not_run(FailureCode.INVALID, f"no method {request.method}")
+        return _failure_response(
+            not_run(
+                FailureCode.INVALID,
+                f"method {request.method} is not supported; use POST, GET or "
+                "DELETE",
+            )
         )
 
     def _submit(
         self, request: HttpRequest, queue: Queue, job_id: str, timeout_ms: int
     ) -> HttpResponse:
         try:
-            job = _job_from(request.json(), queue, job_id)
+            job = _decode_job(request.json(), queue, job_id)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             detail = f"the job cannot be read: {error!r}"
-            return _answer_failure(not_run(FailureCode.INVALID, detail))
-        outcome = self._desk.submit(job, timeout_ms)
+            return _failure_response(not_run(FailureCode.INVALID, detail))
+        outcome = self._job_api.submit(job, timeout_ms)
         if isinstance(outcome, Err):
-            return _answer_failure(outcome.err_value)
+            return _failure_response(outcome.err_value)
         return HttpResponse(200, b"{}")
 
     def _state(self, job_id: str, timeout_ms: int) -> HttpResponse:
-        outcome = self._desk.state(job_id, timeout_ms)
+        outcome = self._job_api.state(job_id, timeout_ms)
         if isinstance(outcome, Err):
-            return _answer_failure(outcome.err_value)
+            return _failure_response(outcome.err_value)
         if outcome.ok_value is None:
             return HttpResponse(STATUS_GONE, b"{}")
         return json_response({"state": outcome.ok_value.value})
 
     def _cancel(self, job_id: str, timeout_ms: int) -> HttpResponse:
-        outcome = self._desk.cancel(job_id, timeout_ms)
+        outcome = self._job_api.cancel(job_id, timeout_ms)
         if isinstance(outcome, Err):
-            return _answer_failure(outcome.err_value)
+            return _failure_response(outcome.err_value)
         return HttpResponse(200 if outcome.ok_value else STATUS_GONE, b"{}")
 
 
-def _answer_failure(failure: Failure) -> HttpResponse:
+def _failure_response(failure: Failure) -> HttpResponse:
     status = None
     if failure.verdict is Verdict.MAY_HAVE_RUN:
         status = 504
@@ -112,20 +128,28 @@
 
 
 def _timeout_ms(request: HttpRequest, queue: Queue) -> int:
-    given = request.headers_by_name.get(DEADLINE_HEADER, "")
-    wanted = int(given) if given.isdigit() else queue.timeout_ms
-    return min(wanted, queue.timeout_ms)
+    header_value = request.headers_by_name.get(DEADLINE_HEADER, "")
+    requested_ms = (
+        int(header_value) if header_value.isdigit() else queue.timeout_ms
+    )
+    return min(requested_ms, queue.timeout_ms)
 
 
-def _job_from(body: Any, queue: Queue, job_id: str) -> JobSpec:
-    if not job_id.isalnum() or len(job_id) > ID_MAX_CHARS:
-        raise ValueError(f"id {job_id!r}")
-    steps = tuple(_step_from(step) for step in body["steps"])
+def _decode_job(body: Any, queue: Queue, job_id: str) -> JobSpec:
+    if not job_id.isalnum() or len(job_id) > MAX_JOB_ID_CHARS:
+        raise ValueError(
+            f"job id {job_id!r} must have 1 to {MAX_JOB_ID_CHARS} letters and "
+            "digits"
+        )
+    steps = tuple(_decode_step(step) for step in body["steps"])
     if not steps:
-        raise ValueError("no steps")
+        raise ValueError("the job has no steps")
     for number, step in enumerate(steps):
         if any(not 0 <= earlier < number for earlier in step.depends_on):
-            raise ValueError(f"step {number} depends on {step.depends_on}")
+            raise ValueError(
+                f"step {number} depends on steps {step.depends_on}; only "
+                "earlier steps are allowed"
+            )
     return JobSpec(
         job_id,
         queue.name,
@@ -138,29 +162,31 @@
     )
 
 
-def _step_from(step: Any) -> StepSpec:
+def _decode_step(step: Any) -> StepSpec:
     task_count = int(step["count"])
     if task_count < 1:
-        raise ValueError(f"a step of {task_count} tasks")
+        raise ValueError(
+            f"a step has {task_count} tasks; at least 1 is required"
+        )
     may_miss = step.get("may-miss")
     return StepSpec(
         task_count,
-        resources_from(step),
+        decode_resources(step),
         int(step.get("estimate-ms") or 0),
         tuple(int(number) for number in step.get("depends-on") or ()),
-        # ``checkpoint`` tells that the tasks save their progress.
+        # In a step, ``checkpoint`` is a flag: the tasks save their progress.
         bool(step.get("checkpoint")),
         bool(step.get("gang")),
         bool(step.get("same-rack")),
         str(step.get("required-label") or ""),
         str(step.get("data-rack") or ""),
-        # A server is a worker here; other pages say runner.
+        # Here the platform calls a worker a server, elsewhere a runner.
         int(step.get("max-per-server") or 0),
         bool(step.get("speculative")),
         bool(step.get("long-running")),
         str(step.get("image") or ""),
         int(step.get("target-ms") or 0),
-        # ``fills`` marks tasks that live on what others leave unused.
+        # ``fills`` marks tasks that use only capacity left over by others.
         bool(step.get("fills")),
         None if may_miss is None else int(may_miss),
     )
--- a/src/magnoliapitch/platform/store.py
+++ b/src/magnoliapitch/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as keyed streams."""
+"""Keyed streams in the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from magnoliapitch.ledger.stream import StoredRecord
 from magnoliapitch.ledger.stream import StreamSlice
 from magnoliapitch.ledger.stream import Writer
-from magnoliapitch.platform.framing import DamagedReplyError
+from magnoliapitch.platform.framing import MalformedReplyError
 from magnoliapitch.platform.framing import decode_read
 from magnoliapitch.platform.framing import encode_records
 from magnoliapitch.verdict import Failure
@@ -36,12 +36,13 @@
     from magnoliapitch.http.client import HttpReply
 
 
-# Topics with this prefix keep the newest record of each key for good.
+# In topics with this prefix, the store keeps the newest record of each key
+# without limit.
 TOPIC_PREFIX = "keyed."
 
 
 class PlatformStore:
-    """Keyed streams in the platform's store; a stream is a topic.
+    """Client of the store; each stream is partition 0 of a topic.
 
     :param address: ``IP:PORT`` of the store.
     """
@@ -58,8 +59,13 @@
         expected_end: int | None = None,
         timeout_ms: int = 1_000,
     ) -> Result[Appended, Failure]:
-        """Append all records or none."""
-        query = _topic(stream)
+        """Append all records or none.
+
+        :param writer: identity for fencing and deduplication; None to append
+            without them.
+        :param expected_end: append only if the stream ends at this offset.
+        """
+        query = _topic_query(stream)
         if writer is not None:
             query |= {
                 "producer": writer.producer,
@@ -72,8 +78,8 @@
             "POST", "/log-append", query, timeout_ms, encode_records(records)
         )
         return reply.and_then(
-            lambda got: _decoded(
-                got,
+            lambda response: _decode_json(
+                response,
                 lambda body: Appended(int(body["offset"]), int(body["end"])),
             )
         )
@@ -85,23 +91,35 @@
         wait_ms: int = 0,
         timeout_ms: int = 1_000,
     ) -> Result[StreamSlice, Failure]:
-        """Read records from an offset, oldest first."""
-        query = {**_topic(stream), "from": from_offset}
+        """Read records from an offset, oldest first.
+
+        :param wait_ms: how long the store may wait for a first record.
+        :param timeout_ms: how long the call may take beyond that.
+        """
+        query = {**_topic_query(stream), "from": from_offset}
         if wait_ms:
             query["wait-ms"] = wait_ms
         reply = self._call("GET", "/log-read", query, timeout_ms + wait_ms)
-        return reply.and_then(lambda got: _slice_from(got.data, from_offset))
+        return reply.and_then(
+            lambda response: _decode_slice(response.data, from_offset)
+        )
 
     def newest(
         self, stream: str, after_key: str = "", timeout_ms: int = 1_000
     ) -> Result[NewestPage, Failure]:
-        """Return a page of the newest record of each key."""
-        query = _topic(stream)
+        """Return a page of the newest record of each key.
+
+        :param after_key: last key of the previous page, empty for the first.
+        """
+        query = _topic_query(stream)
         if after_key:
-            # The field that names dependencies of steps continues a page.
+            # The platform uses the same field for the key to continue after as
+            # for the dependencies of a step.
             query["depends-on"] = after_key
         reply = self._call("GET", "/log-newest", query, timeout_ms)
-        return reply.and_then(lambda got: _decoded(got, _page_from))
+        return reply.and_then(
+            lambda response: _decode_json(response, _decode_page)
+        )
 
     def _call(
         self,
@@ -113,23 +131,23 @@
     ) -> Result[HttpReply, Failure]:
         url = f"{self._url}{path}?{urlencode(query)}"
         reply = self._client.exchange(method, url, timeout_ms, body)
-        return reply.and_then(_accepted)
+        return reply.and_then(_check_status)
 
 
-def _topic(stream: str) -> dict[str, Any]:
+def _topic_query(stream: str) -> dict[str, Any]:
     return {"topic": TOPIC_PREFIX + stream, "part": 0}
 
 
-def _accepted(reply: HttpReply) -> Result[HttpReply, Failure]:
+def _check_status(reply: HttpReply) -> Result[HttpReply, Failure]:
     if reply.status == 200:
         return Ok(reply)
-    detail = f"the store answered {reply.status}"
+    detail = f"the store answered with status {reply.status}"
     if reply.status == 412:
         return Err(not_run(FailureCode.CONFLICT, detail))
     if reply.status == 410:
         return Err(not_run(FailureCode.TRUNCATED, detail))
     if reply.status == 409:
-        return Err(_refused_writer(reply.data, detail))
+        return Err(_writer_failure(reply.data, detail))
     if reply.status in (429, 507):
         return Err(not_run(FailureCode.OVERLOADED, detail))
     if reply.status == 503:
@@ -139,13 +157,13 @@
     return Err(may_have_run(FailureCode.BAD_ANSWER, detail))
 
 
-def _refused_writer(data: bytes, detail: str) -> Failure:
+def _writer_failure(data: bytes, detail: str) -> Failure:
     is_fenced = b"fenced" in data
     code = FailureCode.FENCED if is_fenced else FailureCode.SEQUENCE
     return not_run(code, f"{detail}: {data[:200]!r}")
 
 
-def _decoded(reply: HttpReply, decode: Any) -> Result[Any, Failure]:
+def _decode_json(reply: HttpReply, decode: Any) -> Result[Any, Failure]:
     try:
         return Ok(decode(orjson.loads(reply.data)))
     except (ValueError, KeyError, TypeError) as error:
@@ -153,10 +171,10 @@
         return Err(may_have_run(FailureCode.BAD_ANSWER, detail))
 
 
-def _slice_from(data: bytes, offset: int) -> Result[StreamSlice, Failure]:
+def _decode_slice(data: bytes, offset: int) -> Result[StreamSlice, Failure]:
     try:
         end, first, records = decode_read(data)
-    except DamagedReplyError as error:
+    except MalformedReplyError as error:
         return Err(may_have_run(FailureCode.BAD_ANSWER, str(error)))
     stored = tuple(
         StoredRecord(offset + number, record.key, record.value)
@@ -165,8 +183,9 @@
     return Ok(StreamSlice(stored, first, end))
 
 
-def _page_from(body: Any) -> NewestPage:
-    # Here ``items`` are records; elsewhere the name has other uses.
+def _decode_page(body: Any) -> NewestPage:
+    # In this answer, ``items`` are records; elsewhere the platform uses the
+    # name for other things.
     records = tuple(
         StoredRecord(
             int(item["offset"]),
--- a/src/magnoliapitch/platform/workers.py
+++ b/src/magnoliapitch/platform/workers.py
@@ -1,4 +1,4 @@
-"""The platform's runners as workers."""
+"""Client of the workers, which the platform calls runners."""
 
 from __future__ import annotations
 
@@ -31,7 +31,9 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-LIFE_HEADER = "X-Magnoliapitch-Expect-Instance"
+# Names the incarnation of a worker that a call is meant for; another one at
+# the same address refuses the call with status 421.
+EXPECTED_WORKER_HEADER = "X-Magnoliapitch-Expect-Instance"
 
 _CODE_BY_REASON = {
     "fence": FailureCode.FENCED,
@@ -40,7 +42,7 @@
     "room": FailureCode.NO_ROOM,
     "ticket": FailureCode.TICKET,
 }
-_KIND_BY_WORD = {
+_END_KIND_BY_WORD = {
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
@@ -51,7 +53,7 @@
 
 
 class PlatformWorkers:
-    """Calls to runners."""
+    """Starts, stops and throttles runs on workers and renews their leases."""
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
@@ -59,7 +61,7 @@
     def start(
         self, worker: WorkerInfo, order: StartOrder, timeout_ms: int
     ) -> Result[int, Failure]:
-        """Start a run and return the worker's clock."""
+        """Start a run; return the worker's clock in ms."""
         body: dict[str, Any] = {
             "task": encode_task(order.task),
             "run-id": order.run,
@@ -72,16 +74,16 @@
         if order.ticket:
             body["ticket"] = order.ticket
         return self._call(worker, "/run-start", body, timeout_ms).and_then(
-            _clock_from
+            _decode_clock
         )
 
     def stop(
         self, worker: WorkerInfo, order: StopOrder, timeout_ms: int
     ) -> Result[int, Failure]:
-        """Stop a run and return the worker's clock."""
+        """Stop a run; return the worker's clock in ms."""
         body = _order_body(order)
         return self._call(worker, "/run-stop", body, timeout_ms).and_then(
-            _clock_from
+            _decode_clock
         )
 
     def renew(
@@ -93,7 +95,16 @@
         wait_ms: int,
         timeout_ms: int,
     ) -> Result[WorkerReport, Failure]:
-        """Extend the worker's lease and see what runs and has ended."""
+        """Extend the worker's lease and return its active and ended runs.
+
+        :param deadline_ms: new end of the lease on the worker's clock; None
+            to get the report without extending the lease.
+        :param acknowledged_sequence: the worker may drop ended runs up to
+            this sequence number.
+        :param wait_ms: how long the worker may hold back its answer until
+            another run ends.
+        :param timeout_ms: how long the call may take beyond that.
+        """
         body: dict[str, Any] = {
             "fencing-token": token,
             "ack-seq": acknowledged_sequence,
@@ -104,7 +115,7 @@
             body["wait-ms"] = wait_ms
         return self._call(
             worker, "/hold", body, timeout_ms + wait_ms
-        ).and_then(_report_from)
+        ).and_then(_decode_report)
 
     def throttle(
         self,
@@ -113,10 +124,14 @@
         percent: int,
         timeout_ms: int,
     ) -> Result[int, Failure]:
-        """Let a run work at a share of its speed."""
+        """Slow a run down to a share of its speed.
+
+        :param percent: share of the full speed, in percent.
+        :return: the worker's clock in ms, or the failure.
+        """
         body = {**_order_body(order), "percent": percent}
         return self._call(worker, "/pace", body, timeout_ms).and_then(
-            _clock_from
+            _decode_clock
         )
 
     def _call(
@@ -128,7 +143,7 @@
     ) -> Result[Any, Failure]:
         headers = {
             "Content-Type": "application/json",
-            LIFE_HEADER: worker.worker_id,
+            EXPECTED_WORKER_HEADER: worker.worker_id,
         }
         reply = self._client.exchange(
             "POST",
@@ -137,7 +152,7 @@
             orjson.dumps(body),
             headers,
         )
-        return reply.and_then(_accepted)
+        return reply.and_then(_check_status)
 
 
 def _order_body(order: StopOrder) -> dict[str, Any]:
@@ -148,8 +163,8 @@
     }
 
 
-def _accepted(reply: HttpReply) -> Result[Any, Failure]:
-    detail = f"the worker answered {reply.status}"
+def _check_status(reply: HttpReply) -> Result[Any, Failure]:
+    detail = f"the worker answered with status {reply.status}"
     if reply.status in (429, 503):
         return Err(not_run(FailureCode.UNHEALTHY, detail))
     if reply.status == 421:
@@ -169,27 +184,27 @@
     return Err(may_have_run(FailureCode.BAD_ANSWER, detail))
 
 
-def _clock_from(body: Any) -> Result[int, Failure]:
+def _decode_clock(body: Any) -> Result[int, Failure]:
     try:
         return Ok(int(body["clock-ms"]))
     except (KeyError, TypeError, ValueError) as error:
         return Err(may_have_run(FailureCode.BAD_ANSWER, repr(error)))
 
 
-def _report_from(body: Any) -> Result[WorkerReport, Failure]:
+def _decode_report(body: Any) -> Result[WorkerReport, Failure]:
     try:
         return Ok(
             WorkerReport(
                 int(body["clock-ms"]),
-                tuple(map(_running_from, body.get("running", ()))),
-                tuple(map(_ended_from, body.get("ended-runs", ()))),
+                tuple(map(_decode_running, body.get("running", ()))),
+                tuple(map(_decode_ended, body.get("ended-runs", ()))),
             )
         )
     except (KeyError, TypeError, ValueError, IndexError) as error:
         return Err(may_have_run(FailureCode.BAD_ANSWER, repr(error)))
 
 
-def _running_from(row: list[Any]) -> RunningTask:
+def _decode_running(row: list[Any]) -> RunningTask:
     task, run, checkpoint, percent, *load = row
     return RunningTask(
         decode_task(task),
@@ -200,12 +215,12 @@
     )
 
 
-def _ended_from(row: list[Any]) -> EndedRun:
+def _decode_ended(row: list[Any]) -> EndedRun:
     number, task, run, how, checkpoint = row
     return EndedRun(
         int(number),
         decode_task(task),
         int(run),
-        _KIND_BY_WORD[how],
+        _END_KIND_BY_WORD[how],
         checkpoint or "",
     )
--- a/tests/platform/platform_standin.py
+++ b/tests/platform/platform_standin.py
@@ -1,7 +1,7 @@
-"""A small stand-in of the users' platform over HTTP.
+"""Stand-ins for the services of the users' platform.
 
-It speaks their published protocol on loopback: the store, runners and the
-advice service, with faults on demand.
+They serve its published HTTP protocol on loopback: the store, workers
+(runners) and the advice service, with faults that a test can switch on.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 
 LOOPBACK = "127.0.0.1"
-THREADS = 24
-PAGE_RECORDS = 500
+THREAD_COUNT = 24
+PAGE_RECORD_COUNT = 500
 
 
 class Reply(NamedTuple):
-    """What a handler answers."""
+    """HTTP answer of a handler."""
 
     status: int
     body: bytes = b"{}"
@@ -41,13 +41,17 @@
     return Reply(status, json.dumps(value).encode())
 
 
-class _Http:
-    """Serves a handler on a free port."""
+class _HttpServer:
+    """HTTP server on a free port that answers with ``handle``.
+
+    :ivar drop_answers: number of calls that are carried out but answered with
+        status 502 after a delay.
+    """
 
     def __init__(self) -> None:
         self.drop_answers = 0
         self._server = wsgi.Server(
-            (LOOPBACK, 0), self._serve, numthreads=THREADS
+            (LOOPBACK, 0), self._serve, numthreads=THREAD_COUNT
         )
         self._server.shutdown_timeout = 0
         self._server.prepare()
@@ -93,8 +97,8 @@
         self.answers: dict[str, dict[int, bytes]] = {}
 
 
-class StandinStore(_Http):
-    """The platform's store; only partition 0 of keyed topics."""
+class StandinStore(_HttpServer):
+    """The platform's store, with partition 0 of keyed topics only."""
 
     def __init__(self) -> None:
         self._condition = threading.Condition()
@@ -103,14 +107,14 @@
         super().__init__()
 
     def put(self, topic: str, key: str, value: object) -> None:
-        """Write as an operator or a runner does."""
+        """Append a record as an operator or a worker does."""
         with self._condition:
             data = b"" if value is None else json.dumps(value).encode()
             self._partition(topic).records.append((key, data))
             self._condition.notify_all()
 
     def expire(self, topic: str) -> None:
-        """Drop the history; the newest record of each key stays."""
+        """Expire all records but the newest of each key."""
         with self._condition:
             partition = self._partition(topic)
             partition.first = len(partition.records)
@@ -146,12 +150,12 @@
                 return refusal
         if "at" in query and int(query["at"]) != end:
             return json_reply({"end": end}, 412)
-        partition.records += _records(body)
+        partition.records += _decode_records(body)
         answer = {"offset": end, "end": len(partition.records)}
         if producer is not None:
             partition.epochs[producer] = int(query["epoch"])
-            sent = partition.answers.setdefault(producer, {})
-            sent[int(query["seq"])] = json.dumps(answer).encode()
+            answers = partition.answers.setdefault(producer, {})
+            answers[int(query["seq"])] = json.dumps(answer).encode()
         self._condition.notify_all()
         return json_reply(answer)
 
@@ -165,7 +169,9 @@
         )
         head = struct.pack(">QQ", len(partition.records), partition.first)
         rows = partition.records[start:]
-        return Reply(200, head + b"".join(_framed(*row) for row in rows))
+        return Reply(
+            200, head + b"".join(_encode_record(*row) for row in rows)
+        )
 
     def _newest(self, partition: _Partition, query: dict[str, str]) -> Reply:
         newest = {
@@ -182,35 +188,35 @@
                 "value": base64.b64encode(newest[key][1]).decode(),
                 "offset": newest[key][0],
             }
-            for key in names[:PAGE_RECORDS]
+            for key in names[:PAGE_RECORD_COUNT]
         ]
-        more = len(names) > PAGE_RECORDS
+        more = len(names) > PAGE_RECORD_COUNT
         end = len(partition.records)
         return json_reply({"items": items, "more": more, "end": end})
 
 
-class StandinRunner(_Http):
-    """A runner; every task takes ``task_s`` seconds."""
+class StandinRunner(_HttpServer):
+    """A worker on which every task takes ``task_s`` seconds."""
 
     def __init__(self, runner_id: str, task_s: float = 0.2) -> None:
         self.runner_id = runner_id
         self.started: list[tuple[str, int]] = []
         self._task_s = task_s
-        self._lock = threading.Condition()
+        self._condition = threading.Condition()
         self._token = 0
         self._running: dict[str, tuple[int, float]] = {}
         self._ended: list[list[Any]] = []
-        self._number = 0
+        self._last_sequence = 0
         super().__init__()
 
     def handle(
         self, path: str, query: dict[str, str], body: bytes, headers: Any
     ) -> Reply:
-        meant = headers.get("HTTP_X_MAGNOLIAPITCH_EXPECT_INSTANCE")
-        if meant != self.runner_id:
+        expected_id = headers.get("HTTP_X_MAGNOLIAPITCH_EXPECT_INSTANCE")
+        if expected_id != self.runner_id:
             return Reply(421)
         request = json.loads(body)
-        with self._lock:
+        with self._condition:
             if request.get("fencing-token", 0) < self._token:
                 return self._reply(409, reason="fence")
             self._token = request["fencing-token"]
@@ -219,7 +225,7 @@
             if path == "/run-stop":
                 self._running.pop(request["task"], None)
                 return self._reply(200)
-            return self._hold(request)
+            return self._renew(request)
 
     def _start(self, request: dict[str, Any]) -> Reply:
         if request["ticket"] != "t":
@@ -230,33 +236,37 @@
             self._running[name] = (run, time.monotonic() + self._task_s)
         return self._reply(200)
 
-    def _hold(self, request: dict[str, Any]) -> Reply:
-        acknowledged = request["ack-seq"]
-        self._ended = [row for row in self._ended if row[0] > acknowledged]
-        until = time.monotonic() + request.get("wait-ms", 0) / 1_000
-        while not self._collect() and time.monotonic() < until:
-            self._lock.wait(0.02)
+    def _renew(self, request: dict[str, Any]) -> Reply:
+        acknowledged_sequence = request["ack-seq"]
+        self._ended = [
+            row for row in self._ended if row[0] > acknowledged_sequence
+        ]
+        until_s = time.monotonic() + request.get("wait-ms", 0) / 1_000
+        while not self._collect() and time.monotonic() < until_s:
+            self._condition.wait(0.02)
         running = [
             [name, run, "", 50] for name, (run, _) in self._running.items()
         ]
         return self._reply(200, running=running, **{"ended-runs": self._ended})
 
     def _collect(self) -> bool:
-        now = time.monotonic()
-        for name, (run, until) in list(self._running.items()):
-            if until <= now:
+        now_s = time.monotonic()
+        for name, (run, until_s) in list(self._running.items()):
+            if until_s <= now_s:
                 del self._running[name]
-                self._number += 1
-                self._ended.append([self._number, name, run, "done", ""])
+                self._last_sequence += 1
+                self._ended.append(
+                    [self._last_sequence, name, run, "done", ""]
+                )
         return bool(self._ended)
 
     def _reply(self, status: int, **fields: object) -> Reply:
-        clock = int(time.monotonic() * 1_000)
-        return json_reply({"clock-ms": clock, **fields}, status)
+        clock_ms = int(time.monotonic() * 1_000)
+        return json_reply({"clock-ms": clock_ms, **fields}, status)
 
 
-class StandinAdvice(_Http):
-    """Permits every runner."""
+class StandinAdvice(_HttpServer):
+    """Advice service that permits every worker."""
 
     def handle(
         self, path: str, query: dict[str, str], body: bytes, headers: Any
@@ -269,22 +279,22 @@
     partition: _Partition, query: dict[str, str]
 ) -> Reply | None:
     producer, epoch = query["producer"], int(query["epoch"])
-    known = partition.epochs.get(producer, -1)
-    if epoch < known:
-        return json_reply({"reason": "fenced", "epoch": known}, 409)
-    if epoch > known:
+    known_epoch = partition.epochs.get(producer, -1)
+    if epoch < known_epoch:
+        return json_reply({"reason": "fenced", "epoch": known_epoch}, 409)
+    if epoch > known_epoch:
         partition.answers.pop(producer, None)
         return None
     answer = partition.answers.get(producer, {}).get(int(query["seq"]))
     return None if answer is None else Reply(200, answer)
 
 
-def _framed(key: str, value: bytes) -> bytes:
+def _encode_record(key: str, value: bytes) -> bytes:
     data = bytes((len(key),)) + key.encode() + value
     return struct.pack(">I", len(data)) + data
 
 
-def _records(body: bytes) -> list[tuple[str, bytes]]:
+def _decode_records(body: bytes) -> list[tuple[str, bytes]]:
     records = []
     while body:
         (length,) = struct.unpack_from(">I", body)
--- a/tests/platform/test_directory.py
+++ b/tests/platform/test_directory.py
@@ -9,7 +9,7 @@
 from tests.ledger.memory_streams import MemoryStreams
 
 
-GOOD = {
+WORKER_ENTRY = {
     "service": "app",
     "address": "10.0.0.1:80",
     "zone": "z",
@@ -33,7 +33,7 @@
 
 
 def entry(**changes: object) -> bytes:
-    return json.dumps({**GOOD, **changes}).encode()
+    return json.dumps({**WORKER_ENTRY, **changes}).encode()
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
         json.dumps({"service": "app"}).encode(),
     ],
 )
-def test_an_entry_of_another_writer_names_no_worker(value: bytes) -> None:
+def test_unreadable_worker_entry_is_left_out(value: bytes) -> None:
     streams = MemoryStreams()
     put(streams, "servers", "good", entry())
     put(streams, "servers", "odd", value)
@@ -68,7 +68,7 @@
     assert worker.capacity.cpu_millis == 16_000
 
 
-def test_a_dropped_entry_names_no_worker_any_more() -> None:
+def test_deleted_worker_entry_is_left_out() -> None:
     streams = MemoryStreams()
     put(streams, "servers", "w", entry())
     directory = PlatformDirectory(streams)
@@ -77,7 +77,7 @@
     assert directory.workers().unwrap() == {}
 
 
-def test_an_unreadable_configuration_leaves_the_old_one_in_force() -> None:
+def test_unreadable_configuration_is_not_returned() -> None:
     streams = MemoryStreams()
     body = {"version": 3, "routes": [QUEUE], "services": [{"name": "app"}]}
     put(streams, "op", "config", json.dumps(body).encode())
