--- a/src/magnoliapitch/settings/__init__.py
+++ b/src/magnoliapitch/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of an entry instance."""
+"""Settings of an instance: schema, loading and validation."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/settings/cluster.py
+++ b/src/magnoliapitch/settings/cluster.py
@@ -11,7 +11,7 @@
 from pydantic import ValidationError
 
 from magnoliapitch.event.registry import EventLevel
-from magnoliapitch.settings.check import check_ip_number
+from magnoliapitch.settings.check import check_ip_address
 from magnoliapitch.settings.exceptions import InvalidSettingsError
 from magnoliapitch.settings.problem import SettingsSource
 from magnoliapitch.settings.problem import describe_problem
@@ -33,8 +33,9 @@
 class EndpointSettings(NamedTuple):
     """Addresses of outside systems, as ``IP:PORT``.
 
-    :param store: the store that keeps the streams.
-    :param advisor: the service that permits steps; empty if none.
+    :param store: store that keeps the streams of jobs and states.
+    :param advisor: service that permits workers to run a step; empty if there
+        is none.
     """
 
     store: HostAndPort
@@ -42,12 +43,12 @@
 
 
 class ListenSettings(NamedTuple):
-    """Where an instance listens.
+    """Addresses and ports on which an instance listens.
 
     :param callers: ``IP:PORT`` for callers.
-    :param readiness: ``IP:PORT`` of the balancer's readiness check.
-    :param peer_port: port for other instances on the same IP number.
-    :param metrics_port: port of the metrics on the callers' IP number.
+    :param readiness: ``IP:PORT`` for the load balancer's readiness check.
+    :param peer_port: port for other instances, on the IP address for callers.
+    :param metrics_port: port for metrics, on the IP address for callers.
     """
 
     callers: HostAndPort
@@ -57,10 +58,10 @@
 
 
 class LeaseSettings(NamedTuple):
-    """Times of the workers.
+    """Lease duration and retention of job states.
 
     :param longest_ms: longest lease that a worker grants.
-    :param keep_states_ms: how long the state of an ended job is told.
+    :param keep_states_ms: how long the state of an ended job stays published.
     """
 
     longest_ms: Milliseconds = 10_000
@@ -68,11 +69,11 @@
 
 
 class MachineSettings(NamedTuple):
-    """What the instance runs on.
+    """Capacity of the machine that the instance runs on.
 
-    :param cpu_share: share of a core.
-    :param cores: how many times as fast as one core the processor is.
-    :param link_mbps: bandwidth of the link in megabits a second.
+    :param cpu_share: share of a core that the instance may use.
+    :param cores: speed of the processor, as a multiple of one core.
+    :param link_mbps: bandwidth of the network link in megabits per second.
     """
 
     cpu_share: Annotated[float, Field(gt=0)] = 1.0
@@ -81,10 +82,10 @@
 
 
 class ClusterSettings(NamedTuple):
-    """Settings of one instance.
+    """Settings of one instance that schedules jobs from a shared store.
 
     :param instance_id: unique name of the instance.
-    :param zone: availability zone.
+    :param zone: availability zone of the instance.
     :param log_level: lowest level of the events that are logged.
     """
 
@@ -97,32 +98,33 @@
     log_level: EventLevel = EventLevel.INFO
 
 
-_ADAPTER = TypeAdapter(ClusterSettings)
+_SETTINGS_ADAPTER = TypeAdapter(ClusterSettings)
 
-# The table that tells these settings from those of a single deployment.
-MARK = "endpoints"
+# Only files with cluster settings have this table.
+CLUSTER_TABLE = "endpoints"
 
 
 def is_cluster_file(path: Path) -> bool:
-    """Return whether a file holds settings of this kind."""
+    """Return whether a file can be read and holds cluster settings."""
     try:
-        return MARK in read_toml(path).value
+        return CLUSTER_TABLE in read_toml(path).value
     except TomlFileError:
         return False
 
 
 def load_cluster_settings(path: Path) -> ClusterSettings:
-    """Read a TOML settings file.
+    """Read and validate a TOML file of cluster settings.
 
-    :raises InvalidSettingsError: with one line a problem.
+    :raises InvalidSettingsError: if the file cannot be read or is invalid,
+        with one line per problem.
     """
     try:
         file = read_toml(path)
     except TomlFileError as error:
         raise InvalidSettingsError((str(error),)) from error
     try:
-        settings = _ADAPTER.validate_python(file.value)
-        check_ip_number(settings.listen.callers.partition(":")[0])
+        settings = _SETTINGS_ADAPTER.validate_python(file.value)
+        check_ip_address(settings.listen.callers.partition(":")[0])
     except ValidationError as error:
         source = SettingsSource(file, {})
         problems = tuple(
--- a/src/magnoliapitch/settings/exceptions.py
+++ b/src/magnoliapitch/settings/exceptions.py
@@ -1,12 +1,13 @@
-"""Errors of the settings."""
+"""Exceptions raised for settings."""
 
 from __future__ import annotations
 
 
 class InvalidSettingsError(ValueError):
-    """Settings that cannot be read or break the schema.
+    """Raised when settings cannot be read or are invalid.
 
-    :param problems: one line a problem: file, key, found and allowed.
+    :param problems: one line per problem: file, key, what was found and what
+        is allowed.
     """
 
     def __init__(self, problems: tuple[str, ...]) -> None:
--- a/src/magnoliapitch/settings/loader.py
+++ b/src/magnoliapitch/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads and validates settings files."""
+"""Loading and validation of an entry instance's settings file."""
 
 from __future__ import annotations
 
@@ -23,47 +23,50 @@
     from pathlib import Path
 
 
-VARIABLES_BY_KEY = {
+VARIABLE_BY_KEY = {
     "address": "MAGNOLIAPITCH_ADDRESS",
     "zone": "MAGNOLIAPITCH_ZONE",
 }
 
-_ADAPTER = TypeAdapter(Settings)
+_SETTINGS_ADAPTER = TypeAdapter(Settings)
 
 
 def load_settings(
     path: Path, environment: Mapping[str, str] | None = None
 ) -> Settings:
-    """Read a TOML settings file.
+    """Read and validate a TOML settings file.
 
-    :param environment: variables that override keys, by default those of
-        the process.
-    :raises InvalidSettingsError: with one line a problem.
+    :param environment: environment variables, of which some override keys; by
+        default those of the process.
+    :raises InvalidSettingsError: if the file cannot be read or a setting is
+        invalid, with one line per problem.
     """
     try:
         file = read_toml(path)
     except TomlFileError as error:
         raise InvalidSettingsError((str(error),)) from error
-    overrides = _overrides(os.environ if environment is None else environment)
+    overrides = _read_overrides(
+        os.environ if environment is None else environment
+    )
     source = SettingsSource(
-        file, {key: VARIABLES_BY_KEY[key] for key in overrides}
+        file, {key: VARIABLE_BY_KEY[key] for key in overrides}
     )
     settings = _validate({**file.value, **overrides}, source)
     _check_ports(settings, source)
     return settings
 
 
-def _overrides(environment: Mapping[str, str]) -> dict[str, str]:
+def _read_overrides(environment: Mapping[str, str]) -> dict[str, str]:
     return {
         key: environment[variable]
-        for key, variable in VARIABLES_BY_KEY.items()
+        for key, variable in VARIABLE_BY_KEY.items()
         if environment.get(variable)
     }
 
 
 def _validate(value: dict[str, Any], source: SettingsSource) -> Settings:
     try:
-        return _ADAPTER.validate_python(value)
+        return _SETTINGS_ADAPTER.validate_python(value)
     except ValidationError as error:
         problems = tuple(
             describe_problem(source, item) for item in error.errors()
--- a/src/magnoliapitch/settings/problem.py
+++ b/src/magnoliapitch/settings/problem.py
@@ -1,4 +1,4 @@
-"""Explains what is wrong with settings."""
+"""Messages for validation errors in settings."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 class SettingsSource(NamedTuple):
-    """Where settings came from.
+    """Origin of settings, for error messages.
 
-    :param variables_by_key: environment variables that override keys.
+    :param file: parsed settings file.
+    :param variables_by_key: environment variable by the key it overrides.
     """
 
     file: TomlFile
@@ -26,7 +27,11 @@
 
 
 def describe_problem(source: SettingsSource, error: ErrorDetails) -> str:
-    """Return one line: file, line, key, what was found, what is allowed."""
+    """Describe a validation error in one line.
+
+    :return: file and line or environment variable, key, what was found and
+        what is allowed.
+    """
     section, _, key = ".".join(map(str, error["loc"])).rpartition(".")
     text = describe_error(error, keys_of_section(section))
     variable = "" if section else source.variables_by_key.get(key, "")
