--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -17,7 +17,7 @@
 from magnoliapitch.bench.capacity.registry import processor_slope
 from magnoliapitch.bench.capacity.served import served_worker
 from magnoliapitch.bench.decisions.scale import decision_cost
-from magnoliapitch.journal.fold import apply_record
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.peer import codec
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -39,7 +39,7 @@
     from magnoliapitch.decision.interface import Explanation
     from magnoliapitch.decision.interface import Placement
     from magnoliapitch.decision.interface import Scheduler
-    from magnoliapitch.journal.change import ChangedTask
+    from magnoliapitch.journal.job_change import ChangedTask
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
--- a/src/magnoliapitch/journal/__init__.py
+++ b/src/magnoliapitch/journal/__init__.py
@@ -4,8 +4,8 @@
 
 from magnoliapitch.journal.codec import decode_record
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.fold import EntryOutcome
-from magnoliapitch.journal.fold import apply_record
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.journal import Journal
 from magnoliapitch.journal.state import ClusterState
 
--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -13,7 +13,7 @@
 from result import Result
 
 from magnoliapitch.journal.codec import encode_batch
-from magnoliapitch.journal.pending import Pending
+from magnoliapitch.journal.pending_entry import Pending
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -25,8 +25,8 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from magnoliapitch.journal.budget import TokenBucket
-    from magnoliapitch.journal.fold import RecordOutcome
+    from magnoliapitch.journal.token_bucket import TokenBucket
+    from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.journal.log import PlatformLog
     from magnoliapitch.journal.record import RecordEntry
 
--- a/src/magnoliapitch/journal/follower.py
+++ b/src/magnoliapitch/journal/follower.py
@@ -22,7 +22,7 @@
     from magnoliapitch.journal.log import LogRecord
     from magnoliapitch.journal.log import LogSlice
     from magnoliapitch.journal.log import PlatformLog
-    from magnoliapitch.journal.source import RecordSource
+    from magnoliapitch.journal.peer_source import RecordSource
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.verdict import Failure
 
--- a/src/magnoliapitch/journal/handler/catalogue.py
+++ b/src/magnoliapitch/journal/handler/catalogue.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from magnoliapitch.journal.fold import EntryOutcome
-from magnoliapitch.journal.fold import handles
-from magnoliapitch.journal.fold import rejected
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import handles
+from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.state import ClusterState
--- a/src/magnoliapitch/journal/handler/job.py
+++ b/src/magnoliapitch/journal/handler/job.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from magnoliapitch.job.spec import TaskOutcome
-from magnoliapitch.journal.fold import APPLIED
-from magnoliapitch.journal.fold import EntryOutcome
-from magnoliapitch.journal.fold import handles
-from magnoliapitch.journal.fold import rejected
+from magnoliapitch.journal.state_machine import APPLIED
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import handles
+from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import JobCancel
 from magnoliapitch.journal.record import JobMove
 from magnoliapitch.journal.record import JobSubmit
--- a/src/magnoliapitch/journal/handler/snapshot.py
+++ b/src/magnoliapitch/journal/handler/snapshot.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from magnoliapitch.journal.fold import APPLIED
-from magnoliapitch.journal.fold import EntryOutcome
-from magnoliapitch.journal.fold import handles
-from magnoliapitch.journal.fold import rejected
+from magnoliapitch.journal.state_machine import APPLIED
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import handles
+from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import SnapshotPart
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import SnapshotProgress
--- a/src/magnoliapitch/journal/change.py
+++ b/src/magnoliapitch/journal/job_change.py
@@ -12,7 +12,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.journal.fold import RecordOutcome
+    from magnoliapitch.journal.state_machine import RecordOutcome
 
 
 class ChangedTask(NamedTuple):
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -12,9 +12,9 @@
 from magnoliapitch.event import log_event
 from magnoliapitch.journal import handler as _handler  # noqa: F401
 from magnoliapitch.journal.appender import Appender
-from magnoliapitch.journal.budget import TokenBucket
-from magnoliapitch.journal.change import ChangeFeed
-from magnoliapitch.journal.fold import apply_record
+from magnoliapitch.journal.token_bucket import TokenBucket
+from magnoliapitch.journal.job_change import ChangeFeed
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.follower import READ_LIMIT
 from magnoliapitch.journal.follower import Follower
 from magnoliapitch.journal.snapshot import take_snapshot
@@ -28,12 +28,12 @@
     from result import Result
 
     from magnoliapitch.clock import Clock
-    from magnoliapitch.journal.change import ChangedTask
-    from magnoliapitch.journal.fold import EntryOutcome
-    from magnoliapitch.journal.fold import RecordOutcome
+    from magnoliapitch.journal.job_change import ChangedTask
+    from magnoliapitch.journal.state_machine import EntryOutcome
+    from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.journal.log import LogRecord
     from magnoliapitch.journal.log import PlatformLog
-    from magnoliapitch.journal.pending import Pending
+    from magnoliapitch.journal.pending_entry import Pending
     from magnoliapitch.journal.record import RecordEntry
     from magnoliapitch.peer.message import StateSnapshot
     from magnoliapitch.verdict import Failure
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending import Pending
+    from magnoliapitch.journal.pending_entry import Pending
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
--- a/src/magnoliapitch/ownership/hold.py
+++ b/src/magnoliapitch/ownership/hold.py
@@ -20,7 +20,7 @@
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending import Pending
+    from magnoliapitch.journal.pending_entry import Pending
 
 
 CHECK_INTERVAL_MS = 1_000
--- a/src/magnoliapitch/ownership/mover.py
+++ b/src/magnoliapitch/ownership/mover.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending import Pending
+    from magnoliapitch.journal.pending_entry import Pending
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
--- a/tests/history/fault.py
+++ b/tests/history/fault.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from tests.history.scene import ZONES
+from tests.history.simulation import ZONES
 
 
 if TYPE_CHECKING:
-    from tests.history.scene import Scene
+    from tests.history.simulation import Scene
 
 
 Undo = Callable[[], object]
--- a/tests/history/scene.py
+++ b/tests/history/simulation.py
@@ -22,7 +22,7 @@
 from magnoliapitch.job.spec import JobSpec
 from magnoliapitch.job.spec import TaskOutcome
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.fold import apply_record
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.record import JobCancel
 from magnoliapitch.journal.record import JobSubmit
@@ -46,7 +46,7 @@
     import numpy as np
 
     from magnoliapitch.journal.log import LogSlice
-    from magnoliapitch.journal.pending import Pending
+    from magnoliapitch.journal.pending_entry import Pending
     from magnoliapitch.membership.instance import InstanceInfo
     from magnoliapitch.verdict import Failure
     from magnoliapitch.worker.lease import LeaseGrant
--- a/tests/history/test_schedule.py
+++ b/tests/history/test_schedule.py
@@ -9,7 +9,7 @@
 
 from magnoliapitch.history import check_history
 from tests.history.fault import faults_by_name
-from tests.history.scene import Scene
+from tests.history.simulation import Scene
 
 
 NAMES = sorted(faults_by_name)
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -7,8 +7,8 @@
 from magnoliapitch.ownership.claimer import CLAIM_INTERVAL_MS
 from magnoliapitch.ownership.claimer import TAKEOVER_AFTER_MS
 from magnoliapitch.worker.lease import LEASE_TTL_MAX_MS
-from tests.history.scene import AWAY
-from tests.history.scene import Scene
+from tests.history.simulation import AWAY
+from tests.history.simulation import Scene
 
 
 TICK_MS = 100
--- a/tests/history/test_zone_move.py
+++ b/tests/history/test_zone_move.py
@@ -6,7 +6,7 @@
 from magnoliapitch.history import LeaseStarted
 from magnoliapitch.history import check_history
 from magnoliapitch.ownership.hold import MOVE_AFTER_MIN_MS
-from tests.history.scene import Scene
+from tests.history.simulation import Scene
 
 
 RACK = "norte-rack-1"
--- a/tests/journal/test_history.py
+++ b/tests/journal/test_history.py
@@ -21,7 +21,7 @@
 from magnoliapitch.journal import encode_record
 from magnoliapitch.journal.exceptions import DamagedRecordError
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.journal.pending import Pending
+from magnoliapitch.journal.pending_entry import Pending
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.snapshot import state_digest
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from result import Result
 
-    from magnoliapitch.journal.fold import RecordOutcome
+    from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.verdict import Failure
 
 
--- a/tests/journal/test_job_move.py
+++ b/tests/journal/test_job_move.py
@@ -4,7 +4,7 @@
 
 from magnoliapitch.job.spec import JobSpec
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.fold import apply_record
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.log import LogRecord
 from magnoliapitch.journal.record import EntryJoin
 from magnoliapitch.journal.record import EntryPresence
