--- a/src/magnoliapitch/catalogue/__init__.py
+++ b/src/magnoliapitch/catalogue/__init__.py
@@ -1,4 +1,7 @@
-"""The catalogue: owners, classes of work and their limits."""
+"""Catalogue of the kinds of work that callers may request.
+
+An entry names the owner, the scheduling class and the limits of the work.
+"""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/catalogue/entry.py
+++ b/src/magnoliapitch/catalogue/entry.py
@@ -23,7 +23,7 @@
 
 
 class WorkClass(StrEnum):
-    """How a kind of work is scheduled."""
+    """Scheduling class of a kind of work."""
 
     URGENT = "urgent"
     BATCH = "batch"
@@ -32,22 +32,24 @@
 
 
 class ZoneCutAction(StrEnum):
-    """What happens to tasks in an availability zone that is cut off."""
+    """Action on tasks in an availability zone that is cut off."""
 
     STAY = "stay"
     MOVE = "move"
 
 
 class Limits(NamedTuple):
-    """What the work of one entry may use at most.
-
-    :param cpu_millis: thousandths of a core in use at once.
-    :param memory_mb: mebibytes in use at once.
-    :param accelerators: accelerators in use at once.
-    :param concurrent_requests: small requests in flight at once.
-    :param requests_per_second: small requests accepted a second.
-    :param queued: requests or tasks waiting at once.
-    :param share: relative weight of the owner, without unit.
+    """Limits on the work of one catalogue entry.
+
+    :param cpu_millis: maximum CPU in use at once, in thousandths of a
+        core.
+    :param memory_mb: maximum memory in use at once, in mebibytes.
+    :param accelerators: maximum number of accelerators in use at once.
+    :param concurrent_requests: maximum number of small requests in flight.
+    :param requests_per_second: maximum number of small requests accepted
+        per second.
+    :param queued: maximum number of waiting requests or tasks.
+    :param share: weight of the owner relative to other owners, no unit.
     """
 
     cpu_millis: Count = 10**9
@@ -60,17 +62,18 @@
 
 
 class CatalogueEntry(NamedTuple):
-    """One kind of work that callers may ask for.
+    """Kind of work that callers may request.
 
-    :param name: unique name; callers name it in their requests.
+    :param name: unique name, used by callers in their requests.
     :param owner: team whose quota the work uses.
-    :param work_class: how the work is scheduled.
+    :param work_class: scheduling class of the work.
     :param app: backend application that serves small requests, or empty.
-    :param limits: what the work may use at most.
-    :param patience_ms: how long a caller waits, in milliseconds.
+    :param limits: limits on the work.
+    :param patience_ms: milliseconds that a caller waits.
     :param idempotent: whether the work may be executed more than once.
-    :param on_zone_cut: what happens to tasks in a zone that is cut off.
-    :param move_after_ms: delay before tasks of a cut zone are moved.
+    :param on_zone_cut: action on tasks in a zone that is cut off.
+    :param move_after_ms: milliseconds before tasks of a zone that is cut
+        off are moved.
     """
 
     name: Name
@@ -93,7 +96,8 @@
 def parse_entry(value: object) -> CatalogueEntry:
     """Validate a decoded JSON or TOML value as a catalogue entry.
 
-    :raises InvalidEntryError: with one line for each wrong field.
+    :raises InvalidEntryError: if the value breaks the schema; with one
+        line for each invalid field.
     """
     try:
         return _ADAPTER.validate_python(value)
@@ -106,5 +110,5 @@
 
 
 def _known_keys(location: tuple[int | str, ...]) -> tuple[str, ...]:
-    inside_limits = len(location) > 1 and location[0] == "limits"
-    return Limits._fields if inside_limits else CatalogueEntry._fields
+    is_in_limits = len(location) > 1 and location[0] == "limits"
+    return Limits._fields if is_in_limits else CatalogueEntry._fields
--- a/src/magnoliapitch/catalogue/exceptions.py
+++ b/src/magnoliapitch/catalogue/exceptions.py
@@ -4,9 +4,10 @@
 
 
 class InvalidEntryError(ValueError):
-    """A catalogue entry that breaks the schema.
+    """Error for catalogue entries that break the schema.
 
-    :param problems: one line for each field: where, found, allowed.
+    :param problems: one line for each invalid field, with its location,
+        the value that was found and what is allowed.
     """
 
     def __init__(self, problems: tuple[str, ...]) -> None:
