--- a/src/magnoliapitch/api/caller.py
+++ b/src/magnoliapitch/api/caller.py
@@ -100,7 +100,7 @@
         found = core.job_status(job_id)
         if found is not None:
             return json_response(found)
-        if not core.journal.wait_fresh(FRESH_TIMEOUT_MS):
+        if not core.journal.wait_until_caught_up(FRESH_TIMEOUT_MS):
             return problem_response(
                 not_run(
                     FailureCode.UNAVAILABLE,
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -116,7 +116,7 @@
             self.clock,
             self._retire,
         )
-        self.journal.follower.source = PeerRelay(self.membership, link)
+        self.journal.follower.peer_source = PeerRelay(self.membership, link)
         self.claimer = Claimer(
             self.identity,
             self.journal,
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -384,7 +384,7 @@
         if channel.starts and (releasing or not channel.accepts_starts):
             self._tracker.take_back_all(channel, now_ms)
         self._tracker.take_back_unheld(channel, now_ms)
-        call = channel.plan(now_ms, self._journal.last_read_ms)
+        call = channel.plan(now_ms, self._journal.last_caught_up_ms)
         if call is None:
             return
         channel.in_flight = call
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -30,7 +30,7 @@
     from magnoliapitch.job.channel import PlannedCall
     from magnoliapitch.job.channel import WorkerChannel
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.state import JobRecord
     from magnoliapitch.ownership.hold import ZoneHold
 
@@ -59,7 +59,7 @@
         self._scheduler = scheduler
         self._backlog = backlog
         self._attempts_by_task: dict[TaskKey, dict[int, Attempt]] = {}
-        self._ends_by_task: dict[TaskKey, Pending] = {}
+        self._ends_by_task: dict[TaskKey, PendingEntry] = {}
 
     def __contains__(self, key: object) -> bool:
         return key in self._attempts_by_task
--- a/src/magnoliapitch/journal/__init__.py
+++ b/src/magnoliapitch/journal/__init__.py
@@ -1,4 +1,8 @@
-"""The replicated state: a deterministic fold over the platform's log."""
+"""Replicated state machine over the platform's append-only log.
+
+Every entry instance applies the same records in the same order, so that
+instances at the same offset hold the same state.
+"""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -1,4 +1,4 @@
-"""Group commit to the platform's log."""
+"""Group commit: appends queued record entries to the log in batches."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from result import Result
 
 from magnoliapitch.journal.codec import encode_batch
-from magnoliapitch.journal.pending_entry import Pending
+from magnoliapitch.journal.pending_entry import PendingEntry
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -31,36 +31,44 @@
     from magnoliapitch.journal.record import RecordEntry
 
 
-BATCH_ENTRIES_MAX = 500
+BATCH_MAX_ENTRIES = 500
 BATCH_MAX_BYTES = 65_536
 ENTRY_MAX_BYTES = 1 << 20
-QUEUE_ENTRIES_MAX = 20_000
+QUEUE_MAX_ENTRIES = 20_000
 IDLE_WAIT_MS = 20
 RETRY_WAIT_MS = 100
 
 
 class Batch(NamedTuple):
-    """The entries of one record.
+    """Record entries that are appended as one log record.
 
-    :param base: offset that the writer had applied when it was formed.
+    :param seq: sequence number among the writer's records, from 1.
+    :param base: the writer's next offset to apply when the batch was
+        formed.
+    :param data: the encoded record.
+    :param pending: the record entries, in order.
     """
 
     seq: int
     base: int
     data: bytes
-    pending: tuple[Pending, ...]
+    pending: tuple[PendingEntry, ...]
 
 
 class Appender:
-    """Appends queued entries, one batch at a time.
-
-    A batch whose answer was lost is repeated unchanged until the log or
-    the fold confirms it; only then is the next one formed, so that
-    sequence numbers reach the log in order. A batch that the log refused
-    each time dissolves into the queue again.
-
-    :ivar appends: appends that were tried.
-    :ivar entries: entries in them.
+    """Appends queued record entries, one batch at a time.
+
+    A batch that may have been appended is retried unchanged until the log
+    confirms it or it is read back from the log. Only then the next batch
+    is formed, so that sequence numbers reach the log in order. A batch
+    that was certainly not appended returns to the queue, unless the log
+    calls it invalid; then its entries fail.
+
+    :param writer: incarnation that is written into the records.
+    :param budget: limits the rate of appends.
+    :param next_offset: returns the next offset to apply.
+    :ivar appends: number of attempted appends, including retries.
+    :ivar entries: number of record entries in them.
     """
 
     def __init__(
@@ -74,39 +82,46 @@
         self._writer = writer
         self._budget = budget
         self._next_offset = next_offset
-        self._changed = threading.Condition()
-        self._queue: deque[Pending] = deque()
+        self._condition = threading.Condition()
+        self._queue: deque[PendingEntry] = deque()
         self._batch: Batch | None = None
-        self._is_ambiguous = False
+        self._may_be_appended = False
         self._seq = 0
         self._sent_by_seq: dict[int, Batch] = {}
         self._offset_by_seq: dict[int, int] = {}
         self.appends = 0
         self.entries = 0
 
-    def enqueue(self, entry: RecordEntry) -> Pending:
-        """Queue an entry for the next group commit."""
-        pending = Pending(entry, self._withdraw)
+    def enqueue(self, entry: RecordEntry) -> PendingEntry:
+        """Queue a record entry for one of the next batches.
+
+        :return: the queued entry; it has failed already if the entry is
+            too large or the queue is full.
+        """
+        pending = PendingEntry(entry, self._withdraw)
         size_bytes = len(pending.data)
         if size_bytes > ENTRY_MAX_BYTES:
-            detail = f"{size_bytes} bytes; {ENTRY_MAX_BYTES} are allowed"
+            detail = (
+                f"the record entry has {size_bytes} bytes; at most "
+                f"{ENTRY_MAX_BYTES} are allowed"
+            )
             pending.resolve(Err(not_run(FailureCode.INVALID, detail)))
             return pending
-        with self._changed:
-            if len(self._queue) >= QUEUE_ENTRIES_MAX:
-                detail = "the queue to the log is full"
+        with self._condition:
+            if len(self._queue) >= QUEUE_MAX_ENTRIES:
+                detail = "the queue of record entries for the log is full"
                 pending.resolve(
                     Err(not_run(FailureCode.OVERLOADED, detail, RETRY_WAIT_MS))
                 )
                 return pending
             self._queue.append(pending)
-            self._changed.notify_all()
+            self._condition.notify_all()
         return pending
 
     def step(self, wait_ms: int = 0) -> int:
-        """Append one batch if there is one and the budget allows it.
+        """Append one batch if there is one and the rate limit allows it.
 
-        :param wait_ms: how long to wait for a first entry.
+        :param wait_ms: milliseconds to wait for a first entry.
         :return: milliseconds to wait before the next step.
         """
         if not self._has_work(wait_ms):
@@ -119,55 +134,64 @@
             return 0
         self.appends += 1
         self.entries += len(batch.pending)
-        return self._conclude(batch, self._log.append(batch.data))
+        return self._handle_answer(batch, self._log.append(batch.data))
 
-    def settle(self, outcome: RecordOutcome) -> None:
-        """Resolve the entries of an own record that was folded."""
+    def resolve_applied(self, outcome: RecordOutcome) -> None:
+        """Resolve the entries of an applied record of this writer.
+
+        Records of other writers and duplicates are ignored.
+        """
         if outcome.writer != self._writer or outcome.repeated:
             return
-        with self._changed:
-            batch = self._take_sent(outcome.seq)
+        with self._condition:
+            batch = self._remove_sent(outcome.seq)
         if batch is None:
             return
-        for item, result in zip(batch.pending, outcome.outcomes, strict=False):
-            item.resolve(Ok(result))
+        for item, entry_outcome in zip(
+            batch.pending, outcome.outcomes, strict=False
+        ):
+            item.resolve(Ok(entry_outcome))
+
+    def resolve_skipped(self, next_offset: int, applied_seq: int) -> None:
+        """Resolve sent entries that an installed snapshot may cover.
 
-    def skip_to(self, next_offset: int, folded_seq: int) -> None:
-        """Settle what a snapshot hides; its outcomes are unknown.
+        Their outcomes are unknown, since their records will not be read.
 
-        :param next_offset: offset of the first record after the snapshot.
-        :param folded_seq: own sequence number within the snapshot.
+        :param next_offset: offset of the first record that the snapshot
+            does not cover.
+        :param applied_seq: sequence number of this writer's newest record
+            in the snapshot, 0 if there is none.
         """
-        hidden: list[Pending] = []
-        with self._changed:
+        unresolved: list[PendingEntry] = []
+        with self._condition:
             for seq, batch in tuple(self._sent_by_seq.items()):
                 offset = self._offset_by_seq.get(seq)
                 if offset is not None and offset >= next_offset:
                     continue
-                hidden += batch.pending
-                if offset is not None or seq <= folded_seq:
-                    self._take_sent(seq)
-        _resolve_hidden(hidden)
+                unresolved += batch.pending
+                if offset is not None or seq <= applied_seq:
+                    self._remove_sent(seq)
+        _resolve_unknown(unresolved)
 
     def queued(self) -> int:
-        """Return the number of entries that were not sent yet."""
-        with self._changed:
+        """Return the number of entries that are in no batch yet."""
+        with self._condition:
             return len(self._queue)
 
     def has_unsent(self) -> bool:
-        """Return whether anything waits to be appended or confirmed."""
-        with self._changed:
+        """Return whether an entry or a batch waits to be appended."""
+        with self._condition:
             return bool(self._queue) or self._batch is not None
 
     def _has_work(self, wait_ms: int) -> bool:
-        with self._changed:
+        with self._condition:
             if wait_ms and not self.has_unsent():
-                self._changed.wait(wait_ms / 1000)
+                self._condition.wait(wait_ms / 1000)
             return self.has_unsent()
 
     def _next_batch(self) -> Batch | None:
         base = self._next_offset()
-        with self._changed:
+        with self._condition:
             if self._batch is not None or not self._queue:
                 return self._batch
             pending = self._pop_queue()
@@ -176,23 +200,25 @@
                 [item.data for item in pending], self._writer, self._seq, base
             )
             self._batch = Batch(self._seq, base, data, pending)
-            self._is_ambiguous = False
+            self._may_be_appended = False
             self._sent_by_seq[self._seq] = self._batch
             return self._batch
 
-    def _pop_queue(self) -> tuple[Pending, ...]:
+    def _pop_queue(self) -> tuple[PendingEntry, ...]:
         pending = [self._queue.popleft()]
         size_bytes = len(pending[0].data)
-        while self._queue and len(pending) < BATCH_ENTRIES_MAX:
+        while self._queue and len(pending) < BATCH_MAX_ENTRIES:
             size_bytes += len(self._queue[0].data)
             if size_bytes > BATCH_MAX_BYTES:
                 break
             pending.append(self._queue.popleft())
         return tuple(pending)
 
-    def _conclude(self, batch: Batch, answer: Result[int, Failure]) -> int:
+    def _handle_answer(
+        self, batch: Batch, answer: Result[int, Failure]
+    ) -> int:
         next_offset = self._next_offset()
-        with self._changed:
+        with self._condition:
             if self._batch is not batch:
                 return 0
             if isinstance(answer, Ok):
@@ -200,20 +226,25 @@
                 self._offset_by_seq[batch.seq] = answer.ok_value
                 if answer.ok_value >= next_offset:
                     return 0
-                self._take_sent(batch.seq)
+                self._remove_sent(batch.seq)
             else:
-                return self._retry_later(batch, answer.err_value)
-        _resolve_hidden(batch.pending)
+                return self._handle_failure(batch, answer.err_value)
+        _resolve_unknown(batch.pending)
         return 0
 
-    def _retry_later(self, batch: Batch, failure: Failure) -> int:
+    def _handle_failure(self, batch: Batch, failure: Failure) -> int:
         if failure.verdict is not Verdict.NOT_RUN:
-            self._is_ambiguous = True
-        if not self._is_ambiguous:
-            self._dissolve(batch, failure)
+            self._may_be_appended = True
+        if not self._may_be_appended:
+            self._discard_batch(batch, failure)
         return failure.retry_after_ms or RETRY_WAIT_MS
 
-    def _dissolve(self, batch: Batch, failure: Failure) -> None:
+    def _discard_batch(self, batch: Batch, failure: Failure) -> None:
+        """Drop a batch that is not in the log; reuse its sequence number.
+
+        Its entries fail if the log calls the batch invalid, else they
+        return to the head of the queue.
+        """
         self._batch = None
         self._seq -= 1
         del self._sent_by_seq[batch.seq]
@@ -223,14 +254,14 @@
             return
         self._queue.extendleft(reversed(batch.pending))
 
-    def _take_sent(self, seq: int) -> Batch | None:
+    def _remove_sent(self, seq: int) -> Batch | None:
         if self._batch is not None and self._batch.seq == seq:
             self._batch = None
         self._offset_by_seq.pop(seq, None)
         return self._sent_by_seq.pop(seq, None)
 
-    def _withdraw(self, pending: Pending) -> bool:
-        with self._changed:
+    def _withdraw(self, pending: PendingEntry) -> bool:
+        with self._condition:
             try:
                 self._queue.remove(pending)
             except ValueError:
@@ -238,7 +269,11 @@
             return True
 
 
-def _resolve_hidden(pending: Iterable[Pending]) -> None:
-    detail = "the record left the log before it was read"
+def _resolve_unknown(pending: Iterable[PendingEntry]) -> None:
+    """Fail entries whose outcome is unknown because of a snapshot."""
+    detail = (
+        "a snapshot was loaded in place of the record, so its outcome is "
+        "unknown"
+    )
     for item in pending:
         item.resolve(Err(may_have_run(FailureCode.TRUNCATED, detail)))
--- a/src/magnoliapitch/journal/exceptions.py
+++ b/src/magnoliapitch/journal/exceptions.py
@@ -4,4 +4,4 @@
 
 
 class DamagedRecordError(ValueError):
-    """A log record that is not a valid envelope."""
+    """Error for a log record that is not a valid envelope."""
--- a/src/magnoliapitch/journal/follower.py
+++ b/src/magnoliapitch/journal/follower.py
@@ -1,4 +1,4 @@
-"""Follows the log, or the peers when the log cannot be read."""
+"""Reads new records from the log, or from peers while it is unavailable."""
 
 from __future__ import annotations
 
@@ -22,109 +22,128 @@
     from magnoliapitch.journal.log import LogRecord
     from magnoliapitch.journal.log import LogSlice
     from magnoliapitch.journal.log import PlatformLog
-    from magnoliapitch.journal.peer_source import RecordSource
+    from magnoliapitch.journal.peer_source import PeerRecordSource
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.verdict import Failure
 
 
-READ_LIMIT = 256
+READ_MAX_RECORDS = 256
 IDLE_WAIT_MS = 20
 RETRY_WAIT_MS = 100
 
 
-class FoldTarget(Protocol):
-    """Takes in what the follower reads."""
+class FollowerTarget(Protocol):
+    """Replicated state that the follower brings up to date."""
 
     @property
     def next_offset(self) -> int:
         """Offset of the next record to apply."""
 
     def apply(self, records: tuple[LogRecord, ...]) -> None:
-        """Apply the records that follow; known ones are skipped."""
+        """Apply the records that come next; skip all others."""
 
     def install(self, state: ClusterState) -> bool:
-        """Replace the state by a later one."""
+        """Replace the state by a later one.
 
-    def mark_fresh(self, read_ms: int) -> None:
-        """Note that a read which started then showed nothing newer."""
+        :return: whether the given state was later and was installed.
+        """
+
+    def mark_caught_up(self, read_started_ms: int) -> None:
+        """Record that a read of the log found no newer record.
+
+        :param read_started_ms: when that read started.
+        """
 
     def mark_complete(self) -> None:
-        """Note that the state may be served."""
+        """Record that the state may be served."""
 
 
 class Follower:
-    """Reads in pages; bridges expired history with snapshots.
+    """Reads the log in pages and applies them to a target.
+
+    Records that the log dropped before they were read are replaced by a
+    snapshot from the log or from a peer.
 
-    :ivar source: the peers, once there are any to ask.
+    :param target: the state to bring up to date.
+    :ivar peer_source: the peers; nothing until it is set.
     :ivar oldest: lowest offset that the log retained at the last read.
     :ivar head: offset of the next append at the last read.
-    :ivar is_log_away: whether the last read failed.
+    :ivar is_log_unavailable: whether the last read failed.
     """
 
     def __init__(
-        self, log: PlatformLog, target: FoldTarget, clock: Clock
+        self, log: PlatformLog, target: FollowerTarget, clock: Clock
     ) -> None:
-        self.source: RecordSource | None = None
+        self.peer_source: PeerRecordSource | None = None
         self.oldest = 0
         self.head = 0
-        self.is_log_away = True
+        self.is_log_unavailable = True
         self._log = log
         self._target = target
         self._clock = clock
-        self._is_stuck = False
-        self._was_log_away: bool | None = None
+        self._is_gap_reported = False
+        self._was_log_unavailable: bool | None = None
 
     def step(self, wait_ms: int = 0) -> int:
-        """Read and apply new records.
+        """Read and apply one page of new records.
 
-        :param wait_ms: how long the log may wait for a first record.
+        :param wait_ms: milliseconds that the log may wait for a first
+            record.
         :return: milliseconds to wait before the next step.
         """
-        started_ms = self._clock.now_ms()
-        outcome = self._log.read(self._target.next_offset, READ_LIMIT, wait_ms)
-        self._note_log(outcome)
+        read_started_ms = self._clock.now_ms()
+        outcome = self._log.read(
+            self._target.next_offset, READ_MAX_RECORDS, wait_ms
+        )
+        self._report_log_availability(outcome)
         if isinstance(outcome, Err):
-            return self._follow_peers()
-        part = outcome.ok_value
-        self.oldest = part.oldest
-        self.head = part.head
-        if part.oldest > self._target.next_offset:
-            return self._bridge(part.oldest)
-        self._target.apply(part.records)
-        if part.head == self._target.next_offset:
-            self._target.mark_fresh(started_ms)
+            return self._read_from_peers()
+        page = outcome.ok_value
+        self.oldest = page.oldest
+        self.head = page.head
+        if page.oldest > self._target.next_offset:
+            return self._load_snapshot(page.oldest)
+        self._target.apply(page.records)
+        if page.head == self._target.next_offset:
+            self._target.mark_caught_up(read_started_ms)
             self._target.mark_complete()
-        return 0 if part.records or wait_ms else IDLE_WAIT_MS
+        return 0 if page.records or wait_ms else IDLE_WAIT_MS
 
-    def _note_log(self, outcome: Result[LogSlice, Failure]) -> None:
-        was_away = self._was_log_away
-        self.is_log_away = isinstance(outcome, Err)
-        self._was_log_away = self.is_log_away
-        if self.is_log_away == was_away:
+    def _report_log_availability(
+        self, outcome: Result[LogSlice, Failure]
+    ) -> None:
+        was_unavailable = self._was_log_unavailable
+        self.is_log_unavailable = isinstance(outcome, Err)
+        self._was_log_unavailable = self.is_log_unavailable
+        if self.is_log_unavailable == was_unavailable:
             return
         if isinstance(outcome, Err):
             log_event("log-unavailable", reason=outcome.err_value.detail)
         else:
             log_event("log-available", head=outcome.ok_value.head)
 
-    def _bridge(self, oldest: int) -> int:
-        """Pass over records that left the log before they were read."""
-        before = self._target.next_offset
-        if self._load_from_log(oldest) or self._load_from_peer(oldest):
+    def _load_snapshot(self, oldest: int) -> int:
+        """Install a snapshot in place of records that the log dropped."""
+        previous_offset = self._target.next_offset
+        if self._load_snapshot_from_log(
+            oldest
+        ) or self._load_snapshot_from_peer(oldest):
             log_event(
                 "snapshot-loaded",
-                from_offset=before,
+                from_offset=previous_offset,
                 to_offset=self._target.next_offset,
             )
-            self._is_stuck = False
+            self._is_gap_reported = False
             return 0
-        if not self._is_stuck:
-            log_event("history-missing", next_offset=before, oldest=oldest)
-        self._is_stuck = True
+        if not self._is_gap_reported:
+            log_event(
+                "history-missing", next_offset=previous_offset, oldest=oldest
+            )
+        self._is_gap_reported = True
         return RETRY_WAIT_MS
 
-    def _load_from_log(self, oldest: int) -> bool:
-        assembler = self._scan(oldest)
+    def _load_snapshot_from_log(self, oldest: int) -> bool:
+        assembler = self._collect_snapshots(oldest)
         newest_first = sorted(
             assembler.complete, key=lambda item: item.offset, reverse=True
         )
@@ -136,46 +155,49 @@
                 return True
         return False
 
-    def _scan(self, oldest: int) -> SnapshotAssembler:
+    def _collect_snapshots(self, oldest: int) -> SnapshotAssembler:
         assembler = SnapshotAssembler()
         offset = oldest
         while True:
-            outcome = self._log.read(offset, READ_LIMIT)
+            outcome = self._log.read(offset, READ_MAX_RECORDS)
             if isinstance(outcome, Err) or not outcome.ok_value.records:
                 return assembler
             _collect_parts(assembler, outcome.ok_value)
             offset = outcome.ok_value.records[-1].offset + 1
 
-    def _load_from_peer(self, min_offset: int) -> bool:
-        if self.source is None:
+    def _load_snapshot_from_peer(self, min_offset: int) -> bool:
+        if self.peer_source is None:
             return False
-        found = self.source.snapshot(
+        answer = self.peer_source.snapshot(
             max(min_offset, self._target.next_offset + 1)
         )
-        if isinstance(found, Err):
+        if isinstance(answer, Err):
             return False
-        state = load_snapshot(found.ok_value)
+        state = load_snapshot(answer.ok_value)
         return state is not None and self._target.install(state)
 
-    def _follow_peers(self) -> int:
-        if self.source is None:
+    def _read_from_peers(self) -> int:
+        if self.peer_source is None:
             return RETRY_WAIT_MS
-        before = self._target.next_offset
-        page = self.source.read_log(before, READ_LIMIT)
-        if not isinstance(page, Err):
-            self._target.apply(page.ok_value.records)
-            is_ahead = page.ok_value.next_offset > before
-            if is_ahead and self._target.next_offset == before:
-                self._load_from_peer(before)
-        floor = self.source.floor()
-        if floor is not None and self._target.next_offset >= floor:
+        previous_offset = self._target.next_offset
+        answer = self.peer_source.read_log(previous_offset, READ_MAX_RECORDS)
+        if not isinstance(answer, Err):
+            self._target.apply(answer.ok_value.records)
+            is_ahead = answer.ok_value.next_offset > previous_offset
+            if is_ahead and self._target.next_offset == previous_offset:
+                self._load_snapshot_from_peer(previous_offset)
+        highest_known_offset = self.peer_source.highest_known_offset()
+        if (
+            highest_known_offset is not None
+            and self._target.next_offset >= highest_known_offset
+        ):
             self._target.mark_complete()
-        moved = self._target.next_offset > before
-        return 0 if moved else RETRY_WAIT_MS
+        has_advanced = self._target.next_offset > previous_offset
+        return 0 if has_advanced else RETRY_WAIT_MS
 
 
-def _collect_parts(assembler: SnapshotAssembler, part: LogSlice) -> None:
-    for record in part.records:
+def _collect_parts(assembler: SnapshotAssembler, page: LogSlice) -> None:
+    for record in page.records:
         try:
             envelope = decode_record(record.data)
         except DamagedRecordError:
--- a/src/magnoliapitch/journal/handler/__init__.py
+++ b/src/magnoliapitch/journal/handler/__init__.py
@@ -1,4 +1,7 @@
-"""Fold handlers, one module a concern; importing registers them."""
+"""Functions that apply record entries to the replicated state.
+
+Importing the modules registers the handlers.
+"""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/journal/handler/catalogue.py
+++ b/src/magnoliapitch/journal/handler/catalogue.py
@@ -1,4 +1,4 @@
-"""Applies changes of the catalogue."""
+"""Handlers of changes to the catalogue."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def put_entry(
     state: ClusterState, offset: int, change: CataloguePut
 ) -> EntryOutcome:
-    """Put an entry in force if the expected version is the current one."""
+    """Create or replace an entry if the expected version is current."""
     name = change.entry.name
     problem = _version_problem(state, name, change.expected_version)
     if problem:
@@ -34,12 +34,12 @@
     offset: int,  # noqa: ARG001
     change: CatalogueDelete,
 ) -> EntryOutcome:
-    """Delete an entry if the expected version is the current one."""
+    """Delete an entry if the expected version is current."""
     problem = _version_problem(state, change.name, change.expected_version)
     if problem:
         return rejected(problem)
     if change.name not in state.catalogue_by_name:
-        return rejected(f"no entry {change.name}")
+        return rejected(f"catalogue entry {change.name} does not exist")
     version = _last_version(state, change.name) + 1
     del state.catalogue_by_name[change.name]
     del state.last_version_by_name[change.name]
@@ -48,15 +48,22 @@
 
 
 def _last_version(state: ClusterState, name: str) -> int:
-    """Return the newest version of a name, also of a deleted one."""
+    """Return the newest version of a name, deleted or not."""
     return state.last_version_by_name.get(name, state.version_floor)
 
 
 def _version_problem(
     state: ClusterState, name: str, expected_version: int
 ) -> str:
+    """Return why a version is not the current one; empty if it is.
+
+    A name without an entry has the version 0.
+    """
     current = state.catalogue_by_name.get(name)
     version = current.version if current else 0
     if version == expected_version:
         return ""
-    return f"expected version {expected_version}, current is {version}"
+    return (
+        f"the expected version is {expected_version}, but the current one "
+        f"is {version}"
+    )
--- a/src/magnoliapitch/journal/handler/member.py
+++ b/src/magnoliapitch/journal/handler/member.py
@@ -1,4 +1,4 @@
-"""Applies joins, presence and departures of entry instances."""
+"""Handlers of joins, heartbeats and departures of entry instances."""
 
 from __future__ import annotations
 
@@ -14,8 +14,10 @@
 
 
 @handles(EntryJoin)
-def join(state: ClusterState, offset: int, join: EntryJoin) -> EntryOutcome:
-    """Add an incarnation; earlier ones of the instance are gone."""
+def add_member(
+    state: ClusterState, offset: int, join: EntryJoin
+) -> EntryOutcome:
+    """Add an incarnation and mark earlier ones of its instance as left."""
     if join.incarnation in state.members_by_incarnation:
         return rejected(f"{join.incarnation} has already joined")
     for incarnation, member in state.members_by_incarnation.items():
@@ -28,13 +30,15 @@
 
 
 @handles(EntryPresence)
-def presence(
+def record_presence(
     state: ClusterState, offset: int, presence: EntryPresence
 ) -> EntryOutcome:
-    """Note that an incarnation reached the log."""
+    """Record the offset of a member's heartbeat."""
     member = state.members_by_incarnation.get(presence.incarnation)
     if member is None or member.left:
-        return rejected(f"{presence.incarnation} is not a member")
+        return rejected(
+            f"{presence.incarnation} has not joined or has left"
+        )
     state.members_by_incarnation[presence.incarnation] = member._replace(
         presence_offset=offset
     )
@@ -42,13 +46,15 @@
 
 
 @handles(EntryLeave)
-def leave(state: ClusterState, offset: int, leave: EntryLeave) -> EntryOutcome:
-    """Mark an incarnation as gone for good."""
+def mark_left(
+    state: ClusterState, offset: int, leave: EntryLeave
+) -> EntryOutcome:
+    """Mark an incarnation as stopped for good."""
     member = state.members_by_incarnation.get(leave.incarnation)
     if member is None:
-        return rejected(f"{leave.incarnation} is not a member")
+        return rejected(f"{leave.incarnation} has not joined")
     if member.left:
-        return rejected(f"{leave.incarnation} has left")
+        return rejected(f"{leave.incarnation} has already left")
     state.members_by_incarnation[leave.incarnation] = member._replace(
         presence_offset=offset, left=True
     )
--- a/src/magnoliapitch/journal/handler/request.py
+++ b/src/magnoliapitch/journal/handler/request.py
@@ -1,4 +1,4 @@
-"""Applies intents of keyed requests."""
+"""Handler of reservations of idempotency keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import RequestIntent
-from magnoliapitch.journal.retention import INTENTS_MAX
+from magnoliapitch.journal.retention import MAX_INTENTS
 
 
 if TYPE_CHECKING:
@@ -17,16 +17,19 @@
 
 
 @handles(RequestIntent)
-def intend(
+def reserve_key(
     state: ClusterState,
     offset: int,
     intent: RequestIntent,
 ) -> EntryOutcome:
-    """Let the first intent of a key name who executes the request."""
+    """Reserve an idempotency key unless it is already reserved."""
     if intent.key in state.intents_by_key:
-        return rejected(f"key {intent.key} is taken")
-    if len(state.intents_by_key) >= INTENTS_MAX:
-        return rejected(f"{INTENTS_MAX} keys are remembered already")
+        return rejected(f"idempotency key {intent.key} is already reserved")
+    if len(state.intents_by_key) >= MAX_INTENTS:
+        return rejected(
+            f"{MAX_INTENTS} idempotency keys are reserved, which is the "
+            "maximum"
+        )
     state.intents_by_key[intent.key] = intent
     state.intent_offset_by_key[intent.key] = offset
     return APPLIED
--- a/src/magnoliapitch/journal/handler/snapshot.py
+++ b/src/magnoliapitch/journal/handler/snapshot.py
@@ -1,4 +1,7 @@
-"""Applies parts of snapshots: only how far the newest one reaches."""
+"""Handler of snapshot parts.
+
+The state only records which snapshots are complete, not their contents.
+"""
 
 from __future__ import annotations
 
@@ -11,26 +14,34 @@
 from magnoliapitch.journal.state import SnapshotProgress
 
 
-PROGRESS_MAX = 16
+MAX_SNAPSHOTS_IN_PROGRESS = 16
 
 
 @handles(SnapshotPart)
 def add_part(
     state: ClusterState, offset: int, part: SnapshotPart
 ) -> EntryOutcome:
-    """Count the parts of a snapshot, which follow each other in order."""
+    """Record a part of a snapshot; parts must arrive in order.
+
+    The last part makes the snapshot the newest complete one.
+    """
     if not state.snapshot_offset < part.offset <= offset:
-        return rejected(f"snapshot of offset {part.offset} is not needed")
+        return rejected(
+            f"the snapshot at offset {part.offset} is not newer than the "
+            "newest complete one, or is later than its own record"
+        )
     key = f"{part.offset}:{part.digest}"
     current = state.progress_by_snapshot.get(key)
     if current is None:
-        if len(state.progress_by_snapshot) >= PROGRESS_MAX:
-            return rejected("too many snapshots are being written")
+        if len(state.progress_by_snapshot) >= MAX_SNAPSHOTS_IN_PROGRESS:
+            return rejected(
+                "too many snapshots are incomplete; the maximum is reached"
+            )
         current = SnapshotProgress(
             part.offset, part.digest, 0, part.parts, offset
         )
     if (part.part, part.parts) != (current.next_part, current.parts):
-        return rejected(f"expected part {current.next_part}")
+        return rejected(f"the next part must be {current.next_part}")
     if part.part + 1 >= part.parts:
         state.progress_by_snapshot.pop(key, None)
         state.snapshot_offset = part.offset
--- a/src/magnoliapitch/journal/handler/unit.py
+++ b/src/magnoliapitch/journal/handler/unit.py
@@ -1,4 +1,4 @@
-"""Applies claims on racks and groups of backend servers."""
+"""Handlers of claims on units: racks and groups of backend servers."""
 
 from __future__ import annotations
 
@@ -13,17 +13,28 @@
 
 
 @handles(UnitClaim)
-def claim(state: ClusterState, offset: int, claim: UnitClaim) -> EntryOutcome:
-    """Grant a claim that follows the current epoch; the first one wins."""
+def claim_unit(
+    state: ClusterState, offset: int, claim: UnitClaim
+) -> EntryOutcome:
+    """Make a member the owner of a unit and increase the unit's epoch.
+
+    The claim must name the current epoch, so that the first of several
+    competing claims wins.
+    """
     current = state.claims_by_unit.get(claim.unit)
     epoch = current.epoch if current else 0
     if claim.previous_epoch != epoch:
-        return rejected(f"epoch is {epoch}, not {claim.previous_epoch}")
+        return rejected(
+            f"the current epoch of the unit is {epoch}, not "
+            f"{claim.previous_epoch}"
+        )
     if current and current.zone != claim.zone:
         return rejected(f"{claim.unit} belongs to zone {current.zone}")
     member = state.members_by_incarnation.get(claim.incarnation)
     if member is None or member.left or member.join.zone != claim.zone:
-        return rejected(f"{claim.incarnation} is no member of {claim.zone}")
+        return rejected(
+            f"{claim.incarnation} is not a live member in zone {claim.zone}"
+        )
     state.claims_by_unit[claim.unit] = Claim(
         claim.unit,
         claim.zone,
@@ -37,17 +48,20 @@
 
 
 @handles(UnitRelease)
-def release(
+def release_unit(
     state: ClusterState, offset: int, release: UnitRelease
 ) -> EntryOutcome:
-    """End a claim; the epoch stays."""
+    """Remove the owner of a unit; the epoch stays."""
     current = state.claims_by_unit.get(release.unit)
     if (
         current is None
         or current.incarnation != release.incarnation
         or current.epoch != release.epoch
     ):
-        return rejected(f"{release.incarnation} does not hold {release.unit}")
+        return rejected(
+            f"{release.incarnation} is not the owner of {release.unit} in "
+            "the given epoch"
+        )
     state.claims_by_unit[release.unit] = current._replace(
         incarnation="", offset=offset
     )
@@ -57,6 +71,7 @@
 def _predecessors(
     state: ClusterState, current: Claim | None, incarnation: str
 ) -> tuple[str, ...]:
+    """Return earlier owners of a unit that may still act as its owner."""
     if current is None:
         return ()
     earlier = dict.fromkeys((*current.predecessors, current.incarnation))
--- a/src/magnoliapitch/journal/http_log.py
+++ b/src/magnoliapitch/journal/http_log.py
@@ -1,4 +1,4 @@
-"""Adapter to a log service that speaks HTTP and JSON.
+"""Client of a log service over HTTP and JSON.
 
 ``POST /append`` with ``{"data": TEXT}`` answers ``{"offset": N}``;
 ``GET /read?from=N&limit=N&wait_ms=N`` answers
@@ -31,20 +31,20 @@
 
 
 class Appended(TypedDict):
-    """Answer to an append."""
+    """Response body of an append."""
 
     offset: Offset
 
 
 class ReadRecord(TypedDict):
-    """One record in the answer to a read."""
+    """Record in the response body of a read."""
 
     offset: Offset
     data: str
 
 
 class ReadAnswer(TypedDict):
-    """Answer to a read."""
+    """Response body of a read."""
 
     records: list[ReadRecord]
     oldest: Offset
@@ -56,16 +56,19 @@
 
 
 class HttpLog:
-    """The platform's log over HTTP.
+    """Platform log behind an HTTP service.
 
-    :param url: base address of the service.
+    :param url: base URL of the service.
     """
 
     def __init__(self, url: str) -> None:
         self._client = JsonClient(url)
 
     def append(self, data: bytes) -> Result[int, Failure]:
-        """Append one record and return its offset."""
+        """Append one record and return its offset.
+
+        :param data: UTF-8 text.
+        """
         answer = self._client.call("POST", "/append", {"data": data.decode()})
         appended = answer.and_then(
             lambda value: decode_answer(_APPENDED, value)
@@ -75,7 +78,12 @@
     def read(
         self, from_offset: int, limit: int, wait_ms: int = 0
     ) -> Result[LogSlice, Failure]:
-        """Read records from an offset, oldest first."""
+        """Read records from an offset, oldest first.
+
+        :param limit: maximum number of records to return.
+        :param wait_ms: milliseconds that the service may wait for a first
+            record.
+        """
         answer = self._client.call(
             "GET",
             f"/read?from={from_offset}&limit={limit}&wait_ms={wait_ms}",
--- a/src/magnoliapitch/journal/job_change.py
+++ b/src/magnoliapitch/journal/job_change.py
@@ -1,4 +1,4 @@
-"""Which jobs and tasks a record has changed, for those who follow them."""
+"""Jobs and tasks that applied records have changed."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 
 class ChangedTask(NamedTuple):
-    """A task, or a whole job, that a record has changed.
+    """Task or job that a record has changed.
 
-    :param task: number of the task, -1 for the job.
+    :param task: index of the task within its job; -1 for the whole job.
     """
 
     job_id: str
     task: int = -1
 
 
-class ChangeFeed:
-    """Collects changes, each once, until they are taken."""
+class JobChangeFeed:
+    """Collects changed jobs and tasks without duplicates."""
 
     def __init__(self) -> None:
         self._changes: dict[ChangedTask, None] = {}
 
     def add(self, outcome: RecordOutcome) -> None:
-        """Add what the entries of a record have changed."""
+        """Add the jobs and tasks that an applied record has changed."""
         for entry, result in zip(
             outcome.entries, outcome.outcomes, strict=False
         ):
@@ -41,7 +41,7 @@
                 self._changes[change] = None
 
     def take(self) -> tuple[ChangedTask, ...]:
-        """Return the changes since the last time, in their order."""
+        """Remove and return the collected changes, oldest first."""
         changes, self._changes = tuple(self._changes), {}
         return changes
 
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -1,4 +1,4 @@
-"""The shared state and the way to change it."""
+"""Access to the replicated state: reads, appends and catching up."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from magnoliapitch.journal import handler as _handler  # noqa: F401
 from magnoliapitch.journal.appender import Appender
 from magnoliapitch.journal.token_bucket import TokenBucket
-from magnoliapitch.journal.job_change import ChangeFeed
+from magnoliapitch.journal.job_change import JobChangeFeed
 from magnoliapitch.journal.state_machine import apply_record
-from magnoliapitch.journal.follower import READ_LIMIT
+from magnoliapitch.journal.follower import READ_MAX_RECORDS
 from magnoliapitch.journal.follower import Follower
 from magnoliapitch.journal.snapshot import take_snapshot
 from magnoliapitch.journal.state import ClusterState
@@ -33,27 +33,34 @@
     from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.journal.log import LogRecord
     from magnoliapitch.journal.log import PlatformLog
-    from magnoliapitch.journal.pending_entry import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.record import RecordEntry
     from magnoliapitch.peer.message import StateSnapshot
     from magnoliapitch.verdict import Failure
 
 
 APPENDS_PER_S = 200
-BURST_APPENDS = 10
+MAX_BURST_APPENDS = 10
 REASON_MAX_CHARS = 200
 
 
 class Journal:
-    """Facade of appender, follower and fold.
-
-    ``append_step`` and ``follow_step`` are each driven by one thread, or
-    by a test.
-
-    :ivar follower: reads the log; its ``source`` is set when peers exist.
-    :ivar is_complete: whether the state may be served: it holds the whole
-        history up to its offset, which is not behind any known one.
-    :ivar last_read_ms: start of the last read that showed nothing newer.
+    """Replicated state of one entry instance with its appender and follower.
+
+    One thread calls ``append_step`` repeatedly and another one
+    ``follow_step``; a test may call both.
+
+    :param incarnation: incarnation that is written into the records.
+    :param appends_per_s: appends per second of all live members together;
+        each of them may use an equal share.
+    :ivar appender: appends record entries to the log.
+    :ivar follower: reads the log; its ``peer_source`` is set once there
+        are peers.
+    :ivar is_complete: whether the state may be served. It becomes true
+        once the state covers the whole history up to the highest known
+        offset.
+    :ivar last_caught_up_ms: start of the last read of the log that found
+        no newer record.
     """
 
     def __init__(
@@ -65,15 +72,15 @@
     ) -> None:
         self.incarnation = incarnation
         self.is_complete = False
-        self.last_read_ms: int | None = None
+        self.last_caught_up_ms: int | None = None
         self._log = log
         self._appends_per_s = appends_per_s
         self._lock = threading.RLock()
-        self._read = threading.Condition()
+        self._advanced = threading.Condition()
         self._state = ClusterState()
-        self._tail = RecordTail()
-        self._job_changes = ChangeFeed()
-        self._budget = TokenBucket(appends_per_s, BURST_APPENDS, clock)
+        self._recent_records = RecordTail()
+        self._job_changes = JobChangeFeed()
+        self._budget = TokenBucket(appends_per_s, MAX_BURST_APPENDS, clock)
         self.appender = Appender(
             log, incarnation, self._budget, lambda: self.next_offset
         )
@@ -87,23 +94,27 @@
 
     @contextmanager
     def reading(self) -> Iterator[ClusterState]:
-        """Hold the state still while it is read; never block inside."""
+        """Lock the state for reading; the caller must not block inside."""
         with self._lock:
             yield self._state
 
-    def enqueue(self, entry: RecordEntry) -> Pending:
-        """Queue an entry for the next group commit."""
+    def enqueue(self, entry: RecordEntry) -> PendingEntry:
+        """Queue a record entry to be appended to the log."""
         return self.appender.enqueue(entry)
 
     def commit(
         self, entry: RecordEntry, timeout_ms: int
     ) -> Result[EntryOutcome, Failure]:
-        """Append an entry and wait until the fold has applied it."""
+        """Append a record entry and wait until it is applied.
+
+        :param timeout_ms: milliseconds to wait at most.
+        """
         return self.enqueue(entry).wait(timeout_ms)
 
     def append_step(self, wait_ms: int = 0) -> int:
-        """Append one batch within the own share of the budget.
+        """Append one batch within this member's share of the append rate.
 
+        :param wait_ms: milliseconds to wait for a first entry.
         :return: milliseconds to wait before the next step.
         """
         with self._lock:
@@ -113,85 +124,106 @@
         return self.appender.step(wait_ms)
 
     def has_unsent(self) -> bool:
-        """Return whether any entry still waits to be appended."""
+        """Return whether an entry or a batch waits to be appended."""
         return self.appender.has_unsent()
 
     def follow_step(self, wait_ms: int = 0) -> int:
-        """Read and apply new records.
+        """Read and apply one page of new records.
 
+        :param wait_ms: milliseconds that the log may wait for a first
+            record.
         :return: milliseconds to wait before the next step.
         """
         return self.follower.step(wait_ms)
 
-    def wait_fresh(self, timeout_ms: int) -> bool:
-        """Wait until all is applied that was appended before this call."""
-        if self.follower.is_log_away:
+    def wait_until_caught_up(self, timeout_ms: int) -> bool:
+        """Wait until all records appended before this call are applied.
+
+        :param timeout_ms: milliseconds to wait at most after the read.
+        :return: whether they are; false if the log cannot be read.
+        """
+        if self.follower.is_log_unavailable:
             return False
-        outcome = self._log.read(self.next_offset, READ_LIMIT)
+        outcome = self._log.read(self.next_offset, READ_MAX_RECORDS)
         if isinstance(outcome, Err):
             return False
         self.apply(outcome.ok_value.records)
         head = outcome.ok_value.head
-        with self._read:
-            return self._read.wait_for(
+        with self._advanced:
+            return self._advanced.wait_for(
                 lambda: self.next_offset >= head, timeout_ms / 1000
             )
 
     def apply(self, records: tuple[LogRecord, ...]) -> None:
-        """Apply records from the log or a peer; known ones are skipped."""
+        """Apply records from the log or a peer.
+
+        Records other than the next one are skipped.
+        """
         with self._lock:
             for record in records:
                 if record.offset == self._state.next_offset:
                     outcome = apply_record(self._state, record)
-                    self._tail.add(record)
-                    self.appender.settle(outcome)
+                    self._recent_records.add(record)
+                    self.appender.resolve_applied(outcome)
                     self._job_changes.add(outcome)
-                    _report(outcome)
-        with self._read:
-            self._read.notify_all()
+                    _log_rejections(outcome)
+        with self._advanced:
+            self._advanced.notify_all()
 
     def install(self, state: ClusterState) -> bool:
-        """Replace the state by a later one; offsets never go back."""
+        """Replace the state by a later one.
+
+        :return: false if the given state is not later; nothing changes.
+        """
         with self._lock:
             if state.next_offset <= self._state.next_offset:
                 return False
             self._state = state
-            self._tail.clear()
+            self._recent_records.clear()
             mark = state.marks_by_writer.get(self.incarnation)
-            folded_seq = mark.seq if mark else 0
-            self.appender.skip_to(state.next_offset, folded_seq)
-        with self._read:
-            self._read.notify_all()
+            applied_seq = mark.seq if mark else 0
+            self.appender.resolve_skipped(state.next_offset, applied_seq)
+        with self._advanced:
+            self._advanced.notify_all()
         return True
 
     def take_job_changes(self) -> tuple[ChangedTask, ...]:
-        """Return jobs and tasks changed since the last call.
+        """Return the jobs and tasks that changed since the last call.
 
-        After :meth:`install` the whole state may have changed.
+        Changes by :meth:`install` are not included; it may change the
+        whole state.
         """
         with self._lock:
             return self._job_changes.take()
 
-    def mark_fresh(self, read_ms: int) -> None:
-        """Note that a read which started then showed nothing newer."""
-        self.last_read_ms = read_ms
+    def mark_caught_up(self, read_started_ms: int) -> None:
+        """Record that a read of the log found no newer record.
+
+        :param read_started_ms: when that read started.
+        """
+        self.last_caught_up_ms = read_started_ms
 
     def mark_complete(self) -> None:
-        """Note that the state may be served."""
+        """Record that the state may be served."""
         self.is_complete = True
 
     def page(self, from_offset: int, limit: int) -> tuple[LogRecord, ...]:
-        """Return recent records for a peer, none if they are not kept."""
+        """Return recently applied records for a peer.
+
+        :param from_offset: offset of the first record to return.
+        :param limit: maximum number of records to return.
+        :return: no records if the first one is not in memory.
+        """
         with self._lock:
-            return self._tail.page(from_offset, limit)
+            return self._recent_records.page(from_offset, limit)
 
     def snapshot(self) -> StateSnapshot:
-        """Return the encoded state."""
+        """Return a snapshot of the current state."""
         with self._lock:
             return take_snapshot(self._state)
 
     def dump(self) -> dict[str, object]:
-        """Return the journal's part of the state dump."""
+        """Return the journal's values for the state dump."""
         with self._lock:
             return {
                 "next_offset": self._state.next_offset,
@@ -212,7 +244,8 @@
             }
 
 
-def _report(outcome: RecordOutcome) -> None:
+def _log_rejections(outcome: RecordOutcome) -> None:
+    """Log an event for each record entry that was not applied."""
     for number, entry in enumerate(outcome.outcomes):
         if entry.applied:
             continue
--- a/src/magnoliapitch/journal/log.py
+++ b/src/magnoliapitch/journal/log.py
@@ -14,7 +14,7 @@
 
 
 class LogRecord(NamedTuple):
-    """One record of the log.
+    """Record of the log.
 
     :param offset: position in the log, from 0, without gaps.
     :param data: the record's bytes as appended.
@@ -25,10 +25,10 @@
 
 
 class LogSlice(NamedTuple):
-    """Consecutive records of the log.
+    """Result of a read: consecutive records and the bounds of the log.
 
     :param records: records in offset order, possibly none.
-    :param oldest: lowest offset still retained.
+    :param oldest: lowest offset that the log still retains.
     :param head: offset that the next append will get.
     """
 
@@ -43,8 +43,8 @@
     def append(self, data: bytes) -> Result[int, Failure]:
         """Append one record and return its offset.
 
-        A failure with verdict ``may_have_run`` means that the record may
-        have been appended all the same.
+        After a failure with the verdict ``may_have_run`` the record may
+        be in the log.
         """
 
     def read(
@@ -52,9 +52,9 @@
     ) -> Result[LogSlice, Failure]:
         """Read records from an offset, oldest first.
 
-        When ``from_offset`` is below the oldest retained offset, the
-        slice starts at the oldest one; the caller compares.
+        If ``from_offset`` is below the oldest retained offset, the result
+        starts at the oldest one; the caller must compare them.
 
-        :param limit: most records to return.
-        :param wait_ms: how long to wait for a first record.
+        :param limit: maximum number of records to return.
+        :param wait_ms: milliseconds to wait for a first record.
         """
--- a/src/magnoliapitch/journal/peer_source.py
+++ b/src/magnoliapitch/journal/peer_source.py
@@ -1,4 +1,4 @@
-"""Where records come from when the log cannot be read."""
+"""Interface to the peers that replace a log that cannot be read."""
 
 from __future__ import annotations
 
@@ -14,19 +14,25 @@
     from magnoliapitch.verdict import Failure
 
 
-class RecordSource(Protocol):
-    """The peers, as a replacement of the log."""
+class PeerRecordSource(Protocol):
+    """Source of records and snapshots from other entry instances."""
 
     def read_log(
         self, from_offset: int, limit: int
     ) -> Result[LogPage, Failure]:
-        """Return records from a peer that is ahead of an offset."""
+        """Return records from a peer that has applied more.
+
+        :param from_offset: offset of the first record to return.
+        :param limit: maximum number of records to return.
+        """
 
     def snapshot(self, min_offset: int) -> Result[StateSnapshot, Failure]:
-        """Return a state of at least an offset."""
+        """Return a snapshot of at least the given offset."""
+
+    def highest_known_offset(self) -> int | None:
+        """Return the highest offset known to any reachable peer.
 
-    def floor(self) -> int | None:
-        """Return the highest offset that any reachable peer has heard of.
+        A state that has reached it may be served.
 
-        :return: nothing while no peer with a complete history answers.
+        :return: nothing if no reachable peer has a complete history.
         """
--- a/src/magnoliapitch/journal/pending_entry.py
+++ b/src/magnoliapitch/journal/pending_entry.py
@@ -1,4 +1,4 @@
-"""An entry that waits to be appended and folded."""
+"""Record entry that waits until it is appended and applied."""
 
 from __future__ import annotations
 
@@ -23,17 +23,21 @@
     from magnoliapitch.verdict import Failure
 
 
-class Pending:
-    """Handle of a queued entry.
+class PendingEntry:
+    """Queued record entry and its future outcome.
 
-    :ivar data: the entry as it will stand in its record.
-    :ivar outcome: what became of it, once that is known.
+    :param withdraw: removes the entry from the queue; returns false if it
+        is not in the queue any more.
+    :ivar entry: the record entry.
+    :ivar data: the encoded record entry.
+    :ivar outcome: result of applying the entry or the failure to append
+        it; nothing while neither is known.
     """
 
     def __init__(
         self,
         entry: RecordEntry,
-        withdraw: Callable[[Pending], bool] | None = None,
+        withdraw: Callable[[PendingEntry], bool] | None = None,
     ) -> None:
         self.entry = entry
         self.data = encode_entry(entry)
@@ -42,28 +46,36 @@
         self._done = threading.Event()
 
     def resolve(self, outcome: Result[EntryOutcome, Failure]) -> None:
-        """Set the outcome once."""
+        """Set the outcome and wake the waiter; later calls do nothing."""
         if self.outcome is None:
             self.outcome = outcome
             self._done.set()
 
     def wait(self, timeout_ms: int) -> Result[EntryOutcome, Failure]:
-        """Wait for the outcome in the fold.
+        """Wait until the entry is applied or its append has failed.
 
-        :return: when it is not known in time: ``not_run`` if the entry
-            was withdrawn before it was sent, else ``may_have_run``.
+        :param timeout_ms: milliseconds to wait at most.
+        :return: the outcome; after the timeout a failure with the verdict
+            ``not_run`` if the entry was withdrawn before it was sent, else
+            ``may_have_run``.
         """
         self._done.wait(timeout_ms / 1000)
         if self.outcome is not None:
             return self.outcome
         if self._withdraw is not None and self._withdraw(self):
             failure = not_run(
-                FailureCode.TIMEOUT, "the entry was not sent to the log"
+                FailureCode.TIMEOUT,
+                "the record entry was not sent to the log in time and was "
+                "withdrawn",
             )
             self.resolve(Err(failure))
             return Err(failure)
         if self.outcome is not None:
             return self.outcome
         return Err(
-            may_have_run(FailureCode.TIMEOUT, "the log has not confirmed")
+            may_have_run(
+                FailureCode.TIMEOUT,
+                "the record entry was sent to the log, but its outcome was "
+                "not known in time",
+            )
         )
--- a/src/magnoliapitch/journal/record.py
+++ b/src/magnoliapitch/journal/record.py
@@ -1,4 +1,8 @@
-"""Kinds of entries that log records carry."""
+"""Contents of log records.
+
+A log record is an envelope of one or more record entries. Each record
+entry has a kind and asks for one change of the replicated state.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,10 @@
 
 
 def record_kind(kind: str) -> Callable[[EntryT], EntryT]:
-    """Register a named tuple as a kind of record entry."""
+    """Register a named tuple as the schema of a kind of record entry.
+
+    :param kind: value of ``kind`` in the encoded record entry.
+    """
 
     def register(entry_type: EntryT) -> EntryT:
         kinds_by_type[entry_type] = kind
@@ -38,9 +45,10 @@
 
 @record_kind("catalogue.put")
 class CataloguePut(NamedTuple):
-    """Creates or replaces a catalogue entry.
+    """Creation or replacement of a catalogue entry.
 
-    :param expected_version: version to replace; 0 creates.
+    :param expected_version: current version, which is replaced; 0 if the
+        name has no entry yet.
     """
 
     entry: CatalogueEntry
@@ -49,7 +57,10 @@
 
 @record_kind("catalogue.delete")
 class CatalogueDelete(NamedTuple):
-    """Deletes a catalogue entry of a known version."""
+    """Deletion of a catalogue entry.
+
+    :param expected_version: current version, which is deleted.
+    """
 
     name: str
     expected_version: int
@@ -57,10 +68,11 @@
 
 @record_kind("entry.join")
 class EntryJoin(NamedTuple):
-    """Announces a new incarnation of an entry instance.
+    """Announcement of a started entry instance.
 
-    :param peer_address: ``IP:PORT`` of the peer listener.
-    :param caller_url: base URL of the caller listener.
+    :param incarnation: unique id of this start of the instance.
+    :param peer_address: ``IP:PORT`` of the listener for other instances.
+    :param caller_url: base URL of the listener for callers.
     """
 
     instance_id: str
@@ -72,23 +84,28 @@
 
 @record_kind("entry.presence")
 class EntryPresence(NamedTuple):
-    """Shows that an incarnation could append to the log."""
+    """Heartbeat: the incarnation was able to append to the log."""
 
     incarnation: str
 
 
 @record_kind("entry.leave")
 class EntryLeave(NamedTuple):
-    """Announces that an incarnation has stopped or is known to be gone."""
+    """Announcement that an incarnation has stopped for good.
+
+    The incarnation appends it itself, or another instance that knows.
+    """
 
     incarnation: str
 
 
 @record_kind("unit.claim")
 class UnitClaim(NamedTuple):
-    """Claims a rack or a group of backend servers.
+    """Claim to own a unit: a rack or a group of backend servers.
 
-    :param previous_epoch: epoch of the claim that this one follows.
+    :param unit: name of the unit.
+    :param incarnation: incarnation that becomes the owner.
+    :param previous_epoch: epoch of the current claim; 0 if there is none.
     """
 
     unit: str
@@ -99,7 +116,10 @@
 
 @record_kind("unit.release")
 class UnitRelease(NamedTuple):
-    """Gives up a claim."""
+    """Release of a unit by its owner.
+
+    :param epoch: epoch of the claim that is given up.
+    """
 
     unit: str
     incarnation: str
@@ -108,14 +128,17 @@
 
 @record_kind("job.submit")
 class JobSubmit(NamedTuple):
-    """Accepts a job and assigns it to a unit of workers."""
+    """Submission of a job.
+
+    :param unit: unit of workers on which its tasks may run.
+    """
 
     job: JobSpec
     unit: str
 
 
 class MoveReason(StrEnum):
-    """Why a job is moved."""
+    """Reason for which a job is moved to another unit."""
 
     BALANCE = "balance"
     ZONE_CUT = "zone-cut"
@@ -123,11 +146,12 @@
 
 @record_kind("job.move")
 class JobMove(NamedTuple):
-    """Assigns an unfinished job to another unit.
+    """Assignment of an unfinished job to another unit.
 
-    :param epoch: epoch of the claim on ``from_unit``.
-    :param seen_offset: for a zone that is cut off, an offset after which
-        no owner of ``from_unit`` may have shown its presence.
+    :param epoch: epoch of the current claim on ``from_unit``.
+    :param seen_offset: used if the zone is cut off; the move is rejected
+        if an owner of ``from_unit`` has a heartbeat in the log after this
+        offset.
     """
 
     job_id: str
@@ -140,14 +164,18 @@
 
 @record_kind("job.cancel")
 class JobCancel(NamedTuple):
-    """Cancels a job."""
+    """Cancellation of a job."""
 
     job_id: str
 
 
 @record_kind("task.end")
 class TaskEnd(NamedTuple):
-    """Records how an attempt of a task ended."""
+    """Outcome of one attempt of a task.
+
+    :param task: index of the task within its job.
+    :param attempt: index of the attempt, from 0.
+    """
 
     job_id: str
     task: int
@@ -157,9 +185,13 @@
 
 @record_kind("request.intent")
 class RequestIntent(NamedTuple):
-    """Names the incarnation that alone may execute a keyed request.
+    """Reservation of an idempotency key for one execution of a request.
 
-    :param digest: digest of the request, to refuse reuse of a key.
+    :param key: idempotency key of the request.
+    :param entry: name of the catalogue entry that is requested.
+    :param incarnation: the only incarnation that may execute the request.
+    :param digest: digest of the request, to refuse the same key with
+        another request.
     """
 
     key: str
@@ -170,11 +202,14 @@
 
 @record_kind("snapshot.part")
 class SnapshotPart(NamedTuple):
-    """One part of a snapshot of the fold.
-
-    :param offset: offset of the next record after the snapshot.
-    :param digest: digest of the whole encoded state.
-    :param data: this part, base64.
+    """Part of a snapshot of the replicated state.
+
+    :param offset: offset of the first record that the snapshot does not
+        cover.
+    :param digest: digest of the whole compressed snapshot.
+    :param part: index of this part, from 0.
+    :param parts: number of parts of the snapshot.
+    :param data: bytes of this part in base64.
     """
 
     offset: int
@@ -201,28 +236,34 @@
 )
 
 
-class UnknownEntry(NamedTuple):
-    """An entry of a kind that this version does not know."""
+class UnknownRecordEntry(NamedTuple):
+    """Record entry of a kind that this software version does not know."""
 
     kind: str
 
 
-class InvalidEntry(NamedTuple):
-    """An entry of a known kind that breaks its schema."""
+class InvalidRecordEntry(NamedTuple):
+    """Record entry that does not match the schema of its kind.
+
+    :param kind: its kind, empty if it has none.
+    :param problem: the first violation, as text.
+    """
 
     kind: str
     problem: str
 
 
 class Envelope(NamedTuple):
-    """A decoded log record.
+    """Decoded log record.
 
-    :param writer: incarnation that appended it, empty for operators.
-    :param seq: number within the writer's records, from 1.
-    :param base: offset that the writer had applied when it was formed.
+    :param writer: incarnation that appended it; empty for a record that
+        an operator appended.
+    :param seq: sequence number among the writer's records, from 1.
+    :param base: the writer's next offset to apply when it formed the
+        record.
     """
 
-    entries: tuple[RecordEntry | UnknownEntry | InvalidEntry, ...]
+    entries: tuple[RecordEntry | UnknownRecordEntry | InvalidRecordEntry, ...]
     writer: str = ""
     seq: int = 0
     base: int = 0
--- a/src/magnoliapitch/journal/snapshot.py
+++ b/src/magnoliapitch/journal/snapshot.py
@@ -1,7 +1,7 @@
-"""Encoded states, whole and in parts that fit into log records.
+"""Encoding of snapshots of the state, whole and split into log records.
 
-The order of dictionaries is kept: it is the order of the log, the same on
-every instance, and jobs are served in it.
+The encoding keeps the order of dictionaries. It follows the order of the
+log, is the same on every instance, and jobs are scheduled in it.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from magnoliapitch.peer.message import StateSnapshot
 
 
-FOLD_VERSION = 1
+STATE_FORMAT_VERSION = 1
 PART_MAX_BYTES = 36_000
 STATE_MAX_BYTES = 1 << 28
 COMPRESSION_LEVEL = 1
@@ -32,40 +32,44 @@
 
 
 class LoadedSnapshot(NamedTuple):
-    """A state and the offset at which it was encoded."""
+    """State and the offset at which it was encoded."""
 
     offset: int
     state: ClusterState
 
 
 def encode_state(state: ClusterState) -> bytes:
-    """Encode a state; equal states give equal bytes."""
+    """Encode a state as JSON; equal states give equal bytes."""
     return _ADAPTER.dump_json(state)
 
 
 def state_digest(state: ClusterState) -> str:
-    """Return the digest by which instances compare their states."""
+    """Return the digest of an encoded state, to compare instances."""
     return xxhash.xxh3_128_hexdigest(encode_state(state))
 
 
 def take_snapshot(state: ClusterState) -> StateSnapshot:
-    """Encode and compress a state together with its digest."""
-    head = orjson.dumps({"fold": FOLD_VERSION}) + b"\n"
-    data = zlib.compress(head + encode_state(state), COMPRESSION_LEVEL)
+    """Return a compressed snapshot of a state with its digest."""
+    header = orjson.dumps({"fold": STATE_FORMAT_VERSION}) + b"\n"
+    data = zlib.compress(header + encode_state(state), COMPRESSION_LEVEL)
     return StateSnapshot(
         state.next_offset, xxhash.xxh3_128_hexdigest(data), data
     )
 
 
 def load_snapshot(snapshot: StateSnapshot) -> ClusterState | None:
-    """Decode a snapshot, or return nothing if it is damaged."""
+    """Decode a snapshot.
+
+    :return: nothing if the snapshot is damaged, has another format
+        version, or its offset is not that of its state.
+    """
     if xxhash.xxh3_128_hexdigest(snapshot.state) != snapshot.digest:
         return None
     try:
-        inflater = zlib.decompressobj()
-        data = inflater.decompress(snapshot.state, STATE_MAX_BYTES)
-        head, _, encoded = data.partition(b"\n")
-        if orjson.loads(head) != {"fold": FOLD_VERSION}:
+        decompressor = zlib.decompressobj()
+        data = decompressor.decompress(snapshot.state, STATE_MAX_BYTES)
+        header, _, encoded = data.partition(b"\n")
+        if orjson.loads(header) != {"fold": STATE_FORMAT_VERSION}:
             return None
         state = _ADAPTER.validate_json(encoded)
     except (zlib.error, orjson.JSONDecodeError, ValidationError):
@@ -74,7 +78,7 @@
 
 
 def split_snapshot(snapshot: StateSnapshot) -> tuple[SnapshotPart, ...]:
-    """Return a snapshot as entries of log records."""
+    """Split a snapshot into record entries of a bounded size."""
     data = snapshot.state
     starts = range(0, len(data), PART_MAX_BYTES)
     return tuple(
@@ -90,9 +94,9 @@
 
 
 class SnapshotAssembler:
-    """Collects the parts of snapshots that a scan of the log meets.
+    """Assembles snapshots from parts that are read from the log.
 
-    :ivar complete: snapshots whose parts and digest are right, in the
+    :ivar complete: snapshots with all parts and the right digest, in the
         order in which they became complete.
     """
 
@@ -101,7 +105,13 @@
         self._parts_by_key: dict[tuple[int, str], list[SnapshotPart]] = {}
 
     def add(self, record_offset: int, part: SnapshotPart) -> None:
-        """Take in one part, in the order of the log."""
+        """Add one part; parts must be added in the order of the log.
+
+        A part is ignored if its snapshot is later than the record that
+        holds it, or if it does not follow the previous part.
+
+        :param record_offset: offset of the record that holds the part.
+        """
         if part.offset > record_offset:
             return
         key = (part.offset, part.digest)
--- a/src/magnoliapitch/journal/snapshot_writer.py
+++ b/src/magnoliapitch/journal/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Publishes snapshots before the records they replace leave the log."""
+"""Periodic snapshots, before the log drops the records they cover."""
 
 from __future__ import annotations
 
@@ -12,32 +12,40 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.state import ClusterState
 
 
-SNAPSHOT_RECORDS = 20_000
+SNAPSHOT_INTERVAL_RECORDS = 20_000
 CHECK_INTERVAL_MS = 1_000
-TURN_SHARE = 0.1
-TURN_SHARE_MAX = 0.5
+# Rank N waits until the need exceeds 1 by N times the first share, at most
+# by the second one.
+EXTRA_NEED_SHARE_PER_RANK = 0.1
+EXTRA_NEED_MAX_SHARE = 0.5
 
 
 class SnapshotWriter:
-    """Lets usually one instance write each snapshot.
+    """Appends snapshots of the state to the log.
 
-    The members are ranked by a hash of the previous snapshot's offset;
-    each rank waits for a little more need than the one before it.
+    Usually only one instance writes each snapshot. The live members are
+    ranked by a hash of their incarnation and the previous snapshot's
+    offset, and each rank waits a little longer than the one before it.
+
+    :param snapshot_interval_records: number of records after which a new
+        snapshot is due.
     """
 
     def __init__(
-        self, journal: Journal, snapshot_records: int = SNAPSHOT_RECORDS
+        self,
+        journal: Journal,
+        snapshot_interval_records: int = SNAPSHOT_INTERVAL_RECORDS,
     ) -> None:
         self._journal = journal
-        self._snapshot_records = snapshot_records
-        self._parts: tuple[Pending, ...] = ()
+        self._snapshot_interval_records = snapshot_interval_records
+        self._parts: tuple[PendingEntry, ...] = ()
 
     def step(self) -> int:
-        """Write a snapshot if it is this instance's turn.
+        """Append a snapshot if one is due and it is this instance's turn.
 
         :return: milliseconds to wait before the next step.
         """
@@ -47,7 +55,7 @@
             need = self._need(state)
             rank = _rank(state, self._journal.incarnation)
         if rank is not None and need >= 1 + min(
-            rank * TURN_SHARE, TURN_SHARE_MAX
+            rank * EXTRA_NEED_SHARE_PER_RANK, EXTRA_NEED_MAX_SHARE
         ):
             self._write()
         return CHECK_INTERVAL_MS
@@ -56,9 +64,14 @@
         return any(part.outcome is None for part in self._parts)
 
     def _need(self, state: ClusterState) -> float:
-        """Return how much a snapshot is needed; from 1 on it is due."""
+        """Return how urgent a snapshot is; it is due from 1 on.
+
+        The need grows with the records since the last snapshot. It is 1
+        after ``snapshot_interval_records``, or once these records are
+        half of those that the log retains, whichever comes first.
+        """
         lag = state.next_offset - state.snapshot_offset
-        need = lag / self._snapshot_records
+        need = lag / self._snapshot_interval_records
         follower = self._journal.follower
         if follower.oldest > 0:
             retained = max(follower.head - follower.oldest, 1)
@@ -78,6 +91,7 @@
 
 
 def _rank(state: ClusterState, incarnation: str) -> int | None:
+    """Return the rank of a live member, from 0; nothing if it is none."""
     live = [
         name
         for name, member in state.members_by_incarnation.items()
--- a/src/magnoliapitch/journal/state.py
+++ b/src/magnoliapitch/journal/state.py
@@ -1,4 +1,4 @@
-"""State that every entry instance derives from the platform's log."""
+"""Replicated state that each entry instance builds from the log."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class VersionedEntry(NamedTuple):
-    """A catalogue entry in force.
+    """Current catalogue entry of a name.
 
-    :param version: number of accepted changes to this name.
-    :param offset: offset of the record that put it in force.
+    :param version: version of the name, increased by each accepted change.
+    :param offset: offset of the record that created this version.
     """
 
     entry: CatalogueEntry
@@ -26,12 +26,14 @@
 
 
 class Claim(NamedTuple):
-    """Current claim on a unit.
-
-    :param incarnation: owner, empty after a release.
-    :param epoch: increases with each claim on the unit.
-    :param predecessors: earlier owners that have not given the unit up.
-    :param after_release: whether the previous claim had been given up.
+    """Newest claim on a unit: a rack or a group of backend servers.
+
+    :param incarnation: the owner; empty after a release.
+    :param epoch: fencing number, increased by each claim on the unit.
+    :param offset: offset of the claim or of its release.
+    :param predecessors: earlier owners that did not release the unit and
+        have not left, and so may still act as its owner.
+    :param after_release: whether the previous claim had been released.
     """
 
     unit: str
@@ -44,9 +46,11 @@
 
 
 class Member(NamedTuple):
-    """An incarnation of an entry instance known from the log.
+    """Incarnation of an entry instance that has joined.
 
-    :param presence_offset: offset of its newest record.
+    :param presence_offset: offset of its newest join, heartbeat or leave
+        record.
+    :param left: whether the incarnation has stopped for good.
     """
 
     join: EntryJoin
@@ -55,10 +59,10 @@
 
 
 class WriterMark(NamedTuple):
-    """Newest record of a writer.
+    """Newest applied record of a writer, to detect duplicates.
 
-    :param seq: its sequence number.
-    :param offset: its offset.
+    :param seq: the record's sequence number.
+    :param offset: the record's offset.
     """
 
     seq: int
@@ -66,11 +70,14 @@
 
 
 class SnapshotProgress(NamedTuple):
-    """A snapshot of which the log holds some parts.
-
-    :param offset: offset of the next record after the snapshot.
-    :param next_part: number of the part that must follow.
-    :param record_offset: offset of the newest part.
+    """Snapshot of which the log holds some, but not all parts.
+
+    :param offset: offset of the first record that the snapshot does not
+        cover.
+    :param digest: digest of the whole compressed snapshot.
+    :param next_part: index of the part that must follow.
+    :param parts: number of parts of the snapshot.
+    :param record_offset: offset of the record with the newest part.
     """
 
     offset: int
@@ -82,16 +89,17 @@
 
 @dataclass(slots=True)
 class JobRecord:
-    """A job as the log knows it.
+    """Job with the progress that is recorded in the log.
 
     :ivar spec: the accepted job.
     :ivar unit: unit of workers on which its tasks may run.
     :ivar offset: offset of its submission.
     :ivar cancelled: whether it was cancelled.
-    :ivar ended_by_task: last recorded outcome of each task.
+    :ivar ended_by_task: outcome of the last ended attempt of each task.
     :ivar attempts_by_task: number of ended attempts of each task.
-    :ivar done_offset: offset at which it was found done, -1 for never.
-    :ivar finished_tasks: number of tasks that finished.
+    :ivar done_offset: next offset when the expiry first found the job
+        done; -1 if it has not.
+    :ivar finished_tasks: number of tasks that finished successfully.
     """
 
     spec: JobSpec
@@ -105,26 +113,41 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether nothing of the job has to run any more."""
+        """Whether the job is cancelled or all its tasks have finished."""
         return self.cancelled or self.finished_tasks == self.spec.tasks
 
     @property
     def open_tasks(self) -> int:
-        """Number of tasks that still have to finish."""
+        """Number of unfinished tasks; 0 for a cancelled job."""
         return 0 if self.cancelled else self.spec.tasks - self.finished_tasks
 
 
 @dataclass(slots=True)
 class ClusterState:
-    """Result of the fold; equal on every instance at equal offsets.
+    """Replicated state; equal on all instances at the same offset.
 
     Every field is part of the snapshots.
 
     :ivar next_offset: offset of the next record to apply.
-    :ivar version_floor: highest version of a forgotten deleted name.
-    :ivar open_tasks_by_unit: tasks of each unit that have not finished.
-    :ivar open_tasks_by_entry: the same for each catalogue entry.
+    :ivar catalogue_by_name: current catalogue entries.
+    :ivar last_version_by_name: newest version of each name, including
+        deleted ones.
+    :ivar version_floor: highest version of a deleted name that was
+        dropped from ``last_version_by_name``; names that are not listed
+        there continue from it.
+    :ivar marks_by_writer: newest applied record of each writer.
+    :ivar members_by_incarnation: incarnations that have joined.
+    :ivar claims_by_unit: newest claim on each unit.
+    :ivar jobs_by_id: jobs in the order of their submission.
+    :ivar open_tasks_by_unit: number of unfinished tasks of each unit.
+    :ivar open_tasks_by_entry: number of unfinished tasks of each
+        catalogue entry.
+    :ivar intents_by_key: reservations of idempotency keys.
+    :ivar intent_offset_by_key: offset of each reservation, in order.
+    :ivar progress_by_snapshot: incomplete snapshots, by ``OFFSET:DIGEST``.
     :ivar snapshot_offset: offset of the newest complete snapshot.
+    :ivar skipped_records: number of malformed records and of record
+        entries of an unknown or invalid kind.
     """
 
     next_offset: int = 0
--- a/src/magnoliapitch/journal/token_bucket.py
+++ b/src/magnoliapitch/journal/token_bucket.py
@@ -1,4 +1,4 @@
-"""A budget of events a second."""
+"""Rate limiter for appends to the log."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class TokenBucket:
-    """Lets a bounded number of events through each second.
+    """Token bucket that starts full.
 
     :param rate_per_s: tokens that are added each second.
-    :param burst: most tokens that are kept.
+    :param burst: maximum number of stored tokens.
+    :param clock: clock by which tokens are added.
     """
 
     def __init__(self, rate_per_s: float, burst: float, clock: Clock) -> None:
@@ -24,9 +25,10 @@
         self._filled_ms = clock.now_ms()
 
     def take(self) -> int:
-        """Take one token if there is one.
+        """Take one token if one is available.
 
-        :return: 0 if it was taken, else milliseconds until there is one.
+        :return: 0 if a token was taken, else the milliseconds until the
+            next one is available, at least 1.
         """
         now_ms = self._clock.now_ms()
         added = (now_ms - self._filled_ms) * self.rate_per_s / 1000
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -257,7 +257,7 @@
         )
 
     def _log_age_ms(self) -> int:
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         if read_ms is None:
             return AGE_MAX_MS
         return min(self._clock.now_ms() - read_ms, AGE_MAX_MS)
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -17,7 +17,7 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
@@ -52,9 +52,9 @@
         self._fleet = fleet
         self._clock = clock
         self._on_superseded = on_superseded
-        self._presence: Pending | None = None
+        self._presence: PendingEntry | None = None
         self._presence_ms = clock.now_ms()
-        self._leaves_by_incarnation: dict[str, Pending] = {}
+        self._leaves_by_incarnation: dict[str, PendingEntry] = {}
         self._news_by_incarnation: dict[str, tuple[int, int]] = {}
 
     def step(self) -> int:
@@ -77,7 +77,10 @@
         self._presence_ms = now_ms
 
     def _remove_gone(self, now_ms: int) -> None:
-        if self._journal.follower.is_log_away or not self._fleet.is_fresh:
+        if (
+            self._journal.follower.is_log_unavailable
+            or not self._fleet.is_fresh
+        ):
             self._news_by_incarnation.clear()
             return
         for peer in self._membership.peers():
--- a/src/magnoliapitch/membership/relay.py
+++ b/src/magnoliapitch/membership/relay.py
@@ -58,7 +58,7 @@
             ),
         )
 
-    def floor(self) -> int | None:
+    def highest_known_offset(self) -> int | None:
         """Return the highest offset that any reachable peer has heard of.
 
         Peers are asked for some rounds first, since the first that answers
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
@@ -60,7 +60,7 @@
         self._clock = clock
         self._watch = ZoneWatch(identity.zone)
         self._lock = threading.RLock()
-        self._pending_by_unit: dict[str, Pending] = {}
+        self._pending_by_unit: dict[str, PendingEntry] = {}
         self._owned_since_by_claim: dict[tuple[str, int], int] = {}
         self._releasing: dict[str, int] = {}
         self._members: frozenset[str] = frozenset()
@@ -137,7 +137,7 @@
             running = self._watch.running_predecessors(claim)
             stopped_ms = self._watch.stopped_ms(claim, now_ms)
             is_releasing = unit in self._releasing
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         return slot_share(
             claim,
             now_ms,
@@ -165,7 +165,7 @@
             self._members_since_ms = now_ms
 
     def _is_log_fresh(self, now_ms: int) -> bool:
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         return read_ms is not None and now_ms - read_ms <= LOG_FRESH_MS
 
     def _rebalance(self, now_ms: int) -> None:
--- a/src/magnoliapitch/ownership/hold.py
+++ b/src/magnoliapitch/ownership/hold.py
@@ -20,7 +20,7 @@
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
 
 
 CHECK_INTERVAL_MS = 1_000
@@ -51,7 +51,7 @@
         self._incarnation = incarnation
         self._journal = journal
         self._clock = clock
-        self._pending: Pending | None = None
+        self._pending: PendingEntry | None = None
         self._sent_ms = 0
         self._confirmed_ms: int | None = None
 
--- a/src/magnoliapitch/ownership/mover.py
+++ b/src/magnoliapitch/ownership/mover.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
@@ -36,7 +36,7 @@
         self._claimer = claimer
         self._clock = clock
         self._seen_by_incarnation: dict[str, tuple[int, int]] = {}
-        self._pending_by_job: dict[str, Pending] = {}
+        self._pending_by_job: dict[str, PendingEntry] = {}
 
     def step(self) -> int:
         """Move what may be moved; return milliseconds until the next step."""
@@ -51,7 +51,7 @@
         with self._journal.reading() as state:
             self._note_presence(state, now_ms)
             moves = self._moves(state, racks, now_ms) if racks else []
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         if read_ms is not None and now_ms - read_ms <= LOG_FRESH_MS:
             for move in moves:
                 pending = self._journal.enqueue(move)
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -150,7 +150,7 @@
         the key stays open here for a later attempt.
         """
         now_ms = self._clock.now_ms()
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         if read_ms is None or now_ms - read_ms > LOG_AWAY_MS:
             return _log_away("the log is away")
         digest = _digest_of(task.request)
--- a/src/magnoliapitch/request/fence.py
+++ b/src/magnoliapitch/request/fence.py
@@ -107,7 +107,7 @@
         return FENCE_MS + longest_ms
 
     def _is_current(self, now_ms: int) -> bool:
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         if read_ms is not None and now_ms - read_ms <= FENCE_MS:
             return True
         identity = self._membership.identity
--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -202,7 +202,7 @@
         return Ok(versioned.entry)
 
     def _unknown(self, name: str) -> Failure:
-        if self._journal.last_read_ms is None:
+        if self._journal.last_caught_up_ms is None:
             return not_run(
                 FailureCode.UNAVAILABLE,
                 "the catalogue is not known here yet",
--- a/tests/journal/test_appender.py
+++ b/tests/journal/test_appender.py
@@ -7,9 +7,9 @@
 
 from magnoliapitch.journal import Journal
 from magnoliapitch.journal import decode_record
-from magnoliapitch.journal.appender import BATCH_ENTRIES_MAX
+from magnoliapitch.journal.appender import BATCH_MAX_ENTRIES
 from magnoliapitch.journal.appender import BATCH_MAX_BYTES
-from magnoliapitch.journal.appender import QUEUE_ENTRIES_MAX
+from magnoliapitch.journal.appender import QUEUE_MAX_ENTRIES
 from magnoliapitch.journal.record import EntryPresence
 from magnoliapitch.journal.record import JobCancel
 from magnoliapitch.journal.snapshot import load_snapshot
@@ -27,7 +27,7 @@
     return [item.data for item in log.read(0, 1_000).unwrap().records]
 
 
-def test_appender_repeats_a_batch_unchanged_after_a_lost_answer(
+def test_appender_retries_a_batch_unchanged_after_a_lost_response(
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock)
@@ -42,7 +42,7 @@
     assert [decode_record(item).seq for item in (first, third)] == [1, 2]
 
 
-def test_appender_withdraws_only_what_was_never_sent(
+def test_appender_withdraws_only_entries_that_were_never_sent(
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock)
@@ -58,7 +58,7 @@
     assert entries == [(EntryPresence("a"),)] * 2
 
 
-def test_appender_dissolves_a_batch_that_the_log_refused(
+def test_appender_requeues_the_entries_of_a_batch_that_the_log_refused(
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock)
@@ -86,7 +86,7 @@
     assert pending.wait(0).unwrap_err().verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_appender_fails_what_the_log_calls_invalid(
+def test_appender_fails_entries_that_the_log_calls_invalid(
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock)
@@ -102,7 +102,7 @@
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock)
-    for number in range(BATCH_ENTRIES_MAX + 1):
+    for number in range(BATCH_MAX_ENTRIES + 1):
         journal.enqueue(EntryPresence(str(number)))
     journal.append_step()
     half = "x" * (BATCH_MAX_BYTES // 2)
@@ -111,21 +111,21 @@
     for _ in range(4):
         journal.append_step()
     sizes = [len(decode_record(item).entries) for item in records_of(log)]
-    assert sizes == [BATCH_ENTRIES_MAX, 2, 1, 1]
+    assert sizes == [BATCH_MAX_ENTRIES, 2, 1, 1]
 
 
 def test_appender_bounds_its_queue(
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock)
-    for _ in range(QUEUE_ENTRIES_MAX):
+    for _ in range(QUEUE_MAX_ENTRIES):
         journal.enqueue(EntryPresence("a"))
     failure = journal.enqueue(EntryPresence("a")).wait(0).unwrap_err()
     assert failure.code is FailureCode.OVERLOADED
     assert failure.verdict is Verdict.NOT_RUN
 
 
-def test_appender_stays_within_its_budget(
+def test_appender_stays_within_its_rate_limit(
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock, appends_per_s=20)
@@ -137,7 +137,7 @@
     assert journal.appender.entries > journal.appender.appends
 
 
-def test_appender_settles_what_a_snapshot_hides_as_may_have_run(
+def test_appender_fails_entries_behind_a_snapshot_as_may_have_run(
     log: StandinLog, clock: ManualClock
 ) -> None:
     writer = Journal(log, "a", clock)
--- a/tests/journal/test_codec.py
+++ b/tests/journal/test_codec.py
@@ -130,7 +130,7 @@
         b'{"v": 1, "entries": ["\\ud800"]}',
     ],
 )
-def test_decode_record_refuses_damage(data: bytes) -> None:
+def test_decode_record_rejects_malformed_data(data: bytes) -> None:
     with pytest.raises(DamagedRecordError):
         decode_record(data)
 
--- a/tests/journal/test_http_log.py
+++ b/tests/journal/test_http_log.py
@@ -19,8 +19,8 @@
     from collections.abc import Iterator
 
 
-class Answers:
-    """Answers every call with the same response."""
+class FixedResponseServer:
+    """HTTP server that answers every call with the same response."""
 
     def __init__(self) -> None:
         self.status = 200
@@ -31,19 +31,19 @@
             ("GET", "/read"),
             ("GET", "/instances"),
         ):
-            application.route(method, path)(self._answer)
+            application.route(method, path)(self._respond)
         self.listener = Listener("test", ("127.0.0.1", 0), application, 2)
 
-    def _answer(self, request: HttpRequest) -> HttpResponse:
+    def _respond(self, request: HttpRequest) -> HttpResponse:
         return HttpResponse(self.status, self.body)
 
 
 @pytest.fixture(scope="module")
-def answers() -> Iterator[Answers]:
-    answers = Answers()
-    answers.listener.start()
-    yield answers
-    answers.listener.stop()
+def server() -> Iterator[FixedResponseServer]:
+    server = FixedResponseServer()
+    server.listener.start()
+    yield server
+    server.listener.stop()
 
 
 @pytest.mark.parametrize("status", [200, 500])
@@ -63,12 +63,12 @@
         b'{"verdict": "perhaps", "title": "timeout", "detail": ""}',
     ],
 )
-def test_malformed_answers_become_failures(
-    answers: Answers, status: int, body: bytes
+def test_malformed_responses_become_failures(
+    server: FixedResponseServer, status: int, body: bytes
 ) -> None:
-    answers.status = status
-    answers.body = body
-    url = f"http://127.0.0.1:{answers.listener.port}"
+    server.status = status
+    server.body = body
+    url = f"http://127.0.0.1:{server.listener.port}"
     appended = HttpLog(url).append(b"{}").unwrap_err()
     assert appended.verdict is Verdict.MAY_HAVE_RUN
     assert appended.code is FailureCode.BAD_ANSWER
@@ -76,12 +76,12 @@
     assert HttpInstanceList(url).instances().is_err()
 
 
-def test_problem_answers_keep_their_verdict(answers: Answers) -> None:
-    answers.status = 503
-    answers.body = orjson.dumps(
+def test_problem_responses_keep_their_verdict(server: FixedResponseServer) -> None:
+    server.status = 503
+    server.body = orjson.dumps(
         {"verdict": "not_run", "title": "unavailable", "detail": "down"}
     )
-    url = f"http://127.0.0.1:{answers.listener.port}"
+    url = f"http://127.0.0.1:{server.listener.port}"
     failure = HttpLog(url).append(b"{}").unwrap_err()
     assert failure.verdict is Verdict.NOT_RUN
     assert failure.code is FailureCode.UNAVAILABLE
--- a/tests/journal/test_job_move.py
+++ b/tests/journal/test_job_move.py
@@ -33,7 +33,7 @@
         (MoveReason.BALANCE, -1, "other"),
     ],
 )
-def test_job_move_of_a_cut_zone_fails_after_a_newer_presence(
+def test_job_move_out_of_a_cut_zone_is_rejected_after_a_newer_heartbeat(
     reason: MoveReason, seen_offset: int, unit: str
 ) -> None:
     state = ClusterState()
--- a/tests/journal/test_replication_faults.py
+++ b/tests/journal/test_replication_faults.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults against entry cores, checked step by step."""
+"""Random sequences of faults, with all replicas checked after each step."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from magnoliapitch.journal import encode_record
 from magnoliapitch.journal.exceptions import DamagedRecordError
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.journal.pending_entry import Pending
+from magnoliapitch.journal.pending_entry import PendingEntry
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.snapshot import state_digest
@@ -40,18 +40,24 @@
 
 NAMES = ("a", "b", "c")
 ENTRIES = ("x", "y")
-SNAPSHOT_RECORDS = 12
+SNAPSHOT_INTERVAL_RECORDS = 12
 HEAL_MS = 40_000
 
 
 class Write(NamedTuple):
+    """Enqueued change of the catalogue, identified by its unique owner."""
+
     owner: str
-    pending: Pending
+    pending: PendingEntry
     core: EntryCore
 
 
 class Run:
-    """Applies one schedule and compares every state with the reference."""
+    """Applies faults to entry instances and compares their states.
+
+    The reference state applies each record when it is appended. Every
+    instance must have the digest of the reference at the same offset.
+    """
 
     def __init__(self) -> None:
         self.group = Group()
@@ -71,7 +77,7 @@
     def start(self, name: str) -> None:
         seeds = tuple(item for item in NAMES if item != name)
         core = self.group.add(name, seeds=seeds)
-        core.snapshots = SnapshotWriter(core.journal, SNAPSHOT_RECORDS)
+        core.snapshots = SnapshotWriter(core.journal, SNAPSHOT_INTERVAL_RECORDS)
 
     def run(self, duration_ms: int) -> None:
         self.group.run(duration_ms)
--- a/tests/journal/test_snapshot.py
+++ b/tests/journal/test_snapshot.py
@@ -49,7 +49,7 @@
         return state_digest(state)
 
 
-def joined(log: StandinLog, clock: ManualClock, name: str) -> Journal:
+def joined_journal(log: StandinLog, clock: ManualClock, name: str) -> Journal:
     journal = Journal(log, name, clock)
     journal.enqueue(EntryJoin(name, name, "zone", "address"))
     journal.append_step()
@@ -65,31 +65,31 @@
     return state
 
 
-def test_snapshot_parts_bridge_a_truncated_log(
+def test_snapshot_parts_replace_records_that_the_log_dropped(
     log: StandinLog, clock: ManualClock
 ) -> None:
-    journal = joined(log, clock, "a")
+    journal = joined_journal(log, clock, "a")
     append(log, put("x"))
     journal.follow_step()
     for part in split_snapshot(journal.snapshot()):
         append(log, part)
     append(log, put("y"))
     log.expire(2)
-    cold = Journal(log, "b", clock)
-    cold.follow_step()
-    assert not cold.is_complete
-    cold.follow_step()
+    cold_journal = Journal(log, "b", clock)
+    cold_journal.follow_step()
+    assert not cold_journal.is_complete
+    cold_journal.follow_step()
     journal.follow_step()
-    assert cold.is_complete
-    assert cold.next_offset == journal.next_offset == 4
-    assert digest_of(cold) == digest_of(journal)
+    assert cold_journal.is_complete
+    assert cold_journal.next_offset == journal.next_offset == 4
+    assert digest_of(cold_journal) == digest_of(journal)
 
 
 @pytest.mark.parametrize("damage", ["digest", "data", "missing", "future"])
 def test_cold_start_never_serves_from_a_damaged_snapshot(
     log: StandinLog, clock: ManualClock, damage: str
 ) -> None:
-    journal = joined(log, clock, "a")
+    journal = joined_journal(log, clock, "a")
     (part,) = split_snapshot(journal.snapshot())
     damaged = {
         "digest": part._replace(digest="0"),
@@ -100,42 +100,42 @@
     append(log, damaged[damage])
     append(log, put("x"))
     log.expire(1)
-    cold = Journal(log, "b", clock)
+    cold_journal = Journal(log, "b", clock)
     for _ in range(3):
-        cold.follow_step()
-    assert not cold.is_complete
-    assert cold.next_offset == 0
+        cold_journal.follow_step()
+    assert not cold_journal.is_complete
+    assert cold_journal.next_offset == 0
 
 
-def test_cold_start_skips_a_snapshot_that_does_not_cover(
+def test_cold_start_skips_a_snapshot_older_than_the_oldest_record(
     log: StandinLog, clock: ManualClock
 ) -> None:
-    journal = joined(log, clock, "a")
+    journal = joined_journal(log, clock, "a")
     old = split_snapshot(journal.snapshot())
     append(log, put("x"))
     for part in old:
         append(log, part)
     log.expire(2)
-    cold = Journal(log, "b", clock)
-    cold.follow_step()
-    assert not cold.is_complete
-    assert cold.next_offset == 0
+    cold_journal = Journal(log, "b", clock)
+    cold_journal.follow_step()
+    assert not cold_journal.is_complete
+    assert cold_journal.next_offset == 0
 
 
 def test_cold_start_falls_back_to_the_older_valid_snapshot(
     log: StandinLog, clock: ManualClock
 ) -> None:
-    journal = joined(log, clock, "a")
+    journal = joined_journal(log, clock, "a")
     for part in split_snapshot(journal.snapshot()):
         append(log, part)
     newer = SnapshotPart(2, "0", 0, 1, "AAAA")
     append(log, newer)
     log.expire(1)
-    cold = Journal(log, "b", clock)
-    cold.follow_step()
-    cold.follow_step()
-    assert cold.is_complete
-    assert cold.next_offset == 3
+    cold_journal = Journal(log, "b", clock)
+    cold_journal.follow_step()
+    cold_journal.follow_step()
+    assert cold_journal.is_complete
+    assert cold_journal.next_offset == 3
 
 
 def test_large_snapshot_is_split_into_bounded_parts(
@@ -151,55 +151,58 @@
     for part in parts:
         append(log, part)
     log.expire(7)
-    cold = Journal(log, "b", clock)
-    cold.follow_step()
-    cold.follow_step()
-    assert cold.next_offset == 7 + len(parts)
-    with cold.reading() as loaded:
+    cold_journal = Journal(log, "b", clock)
+    cold_journal.follow_step()
+    cold_journal.follow_step()
+    assert cold_journal.next_offset == 7 + len(parts)
+    with cold_journal.reading() as loaded:
         assert loaded.intents_by_key == state.intents_by_key
         assert loaded.snapshot_offset == 7
 
 
-def test_load_snapshot_refuses_a_wrong_offset_and_garbage() -> None:
+def test_load_snapshot_rejects_a_wrong_offset_and_invalid_bytes() -> None:
     snapshot = take_snapshot(ClusterState())
     assert load_snapshot(snapshot._replace(offset=1)) is None
     assert load_snapshot(StateSnapshot(0, "", b"")) is None
     assert load_snapshot(snapshot) == ClusterState()
 
 
-def test_one_writer_publishes_before_records_age_out(
+def test_snapshots_are_written_before_the_log_drops_records(
     log: StandinLog, clock: ManualClock
 ) -> None:
-    journals = [joined(log, clock, name) for name in "abc"]
-    writers = [SnapshotWriter(item, snapshot_records=50) for item in journals]
-    retained = 40
-    published = 0
+    journals = [joined_journal(log, clock, name) for name in "abc"]
+    writers = [
+        SnapshotWriter(item, snapshot_interval_records=50)
+        for item in journals
+    ]
+    retained_records = 40
+    written_count = 0
     for number in range(400):
         append(log, put(f"n{number}"))
         head = log.read(0, 1).unwrap().head
-        log.expire(head - retained)
+        log.expire(head - retained_records)
         clock.advance(1_000)
         for journal, writer in zip(journals, writers, strict=True):
             journal.follow_step()
             writer.step()
-            published += journal.append_step() == 0
+            written_count += journal.append_step() == 0
             journal.follow_step()
-    cold = Journal(log, "z", clock)
+    cold_journal = Journal(log, "z", clock)
     for _ in range(3):
-        cold.follow_step()
-    assert cold.is_complete
-    assert digest_of(cold) == digest_of(journals[0])
-    assert 400 // 50 <= published <= 3 * 400 // (retained // 2)
+        cold_journal.follow_step()
+    assert cold_journal.is_complete
+    assert digest_of(cold_journal) == digest_of(journals[0])
+    assert 400 // 50 <= written_count <= 3 * 400 // (retained_records // 2)
 
 
-def test_state_forgets_by_offsets_alone(
+def test_expiry_depends_on_offsets_only(
     monkeypatch: pytest.MonkeyPatch, log: StandinLog, clock: ManualClock
 ) -> None:
     for name in ("WRITER", "MEMBER", "JOB", "INTENT"):
-        monkeypatch.setattr(retention, f"{name}_RECORDS", 20)
-    monkeypatch.setattr(retention, "EXPIRE_RECORDS", 10)
-    monkeypatch.setattr(retention, "DELETED_NAMES_MAX", 1)
-    joined(log, clock, "gone")
+        monkeypatch.setattr(retention, f"{name}_RETENTION_RECORDS", 20)
+    monkeypatch.setattr(retention, "EXPIRY_INTERVAL_RECORDS", 10)
+    monkeypatch.setattr(retention, "MAX_DELETED_NAMES", 1)
+    joined_journal(log, clock, "gone")
     append(log, EntryLeave("gone"))
     append(log, JobSubmit(JobSpec("j", "e", 1, NO_RESOURCES), "rack"))
     append(log, JobSubmit(JobSpec("k", "e", 1, NO_RESOURCES), "rack"))
@@ -224,13 +227,13 @@
         assert state.catalogue_by_name["x"].version == 3
 
 
-def test_record_repeated_after_its_mark_was_forgotten_is_outdated(
+def test_duplicate_whose_writer_mark_has_expired_is_rejected(
     monkeypatch: pytest.MonkeyPatch, log: StandinLog, clock: ManualClock
 ) -> None:
-    for module in ("retention", "fold"):
-        name = f"magnoliapitch.journal.{module}.WRITER_RECORDS"
+    for module in ("retention", "state_machine"):
+        name = f"magnoliapitch.journal.{module}.WRITER_RETENTION_RECORDS"
         monkeypatch.setattr(name, 20)
-    monkeypatch.setattr(retention, "EXPIRE_RECORDS", 10)
+    monkeypatch.setattr(retention, "EXPIRY_INTERVAL_RECORDS", 10)
     submit = JobSubmit(JobSpec("j", "e", 1, NO_RESOURCES), "rack")
     data = encode_record((submit,), "w", 1, base=0)
     log.append(data)
--- a/tests/journal/test_state_machine.py
+++ b/tests/journal/test_state_machine.py
@@ -14,7 +14,7 @@
     return CatalogueEntry("seat-check", owner, WorkClass.URGENT)
 
 
-def test_fold_lets_one_of_two_racing_changes_win() -> None:
+def test_first_of_two_competing_changes_is_applied() -> None:
     log = StandinLog()
     first = Journal(log, "a", ManualClock())
     second = Journal(log, "b", ManualClock())
@@ -30,7 +30,7 @@
     assert applied == [True, False]
 
 
-def test_fold_counts_an_append_with_a_lost_answer_once() -> None:
+def test_record_that_is_appended_twice_is_applied_once() -> None:
     log = StandinLog()
     journal = Journal(log, "a", ManualClock())
     log.answers_to_lose = 1
@@ -44,7 +44,7 @@
         assert state.catalogue_by_name["seat-check"].version == 1
 
 
-def test_fold_skips_damaged_records_everywhere_alike() -> None:
+def test_malformed_and_unknown_records_are_skipped_and_counted() -> None:
     log = StandinLog()
     log.append(b"\x00 not json")
     log.append(b'{"v": 1, "entries": [{"kind": "of-tomorrow"}]}')
@@ -56,7 +56,7 @@
         assert state.catalogue_by_name == {}
 
 
-def test_repeat_does_not_revive_what_was_deleted_in_between() -> None:
+def test_duplicate_record_does_not_restore_a_deleted_entry() -> None:
     log = StandinLog()
     journal = Journal(log, "a", ManualClock())
     log.answers_to_lose = 1
