--- a/src/magnoliapitch/bench/capacity/memory.py
+++ b/src/magnoliapitch/bench/capacity/memory.py
@@ -8,8 +8,8 @@
 from magnoliapitch.bench.capacity.registry import memory_slope
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.journal import handler as _handler  # noqa: F401
-from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import apply_record
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -17,8 +17,8 @@
 from magnoliapitch.bench.capacity.registry import processor_slope
 from magnoliapitch.bench.capacity.served import served_worker
 from magnoliapitch.bench.decisions.scale import decision_cost
-from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.peer import codec
 from magnoliapitch.peer.message import Beat
--- a/src/magnoliapitch/journal/__init__.py
+++ b/src/magnoliapitch/journal/__init__.py
@@ -8,10 +8,10 @@
 
 from magnoliapitch.journal.codec import decode_record
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.state_machine import EntryOutcome
-from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.journal import Journal
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import apply_record
 
 
 __all__ = [
--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -25,10 +25,10 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from magnoliapitch.journal.token_bucket import TokenBucket
-    from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.journal.log import PlatformLog
     from magnoliapitch.journal.record import RecordEntry
+    from magnoliapitch.journal.state_machine import RecordOutcome
+    from magnoliapitch.journal.token_bucket import TokenBucket
 
 
 BATCH_MAX_ENTRIES = 500
--- a/src/magnoliapitch/journal/handler/catalogue.py
+++ b/src/magnoliapitch/journal/handler/catalogue.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from magnoliapitch.journal.state_machine import EntryOutcome
-from magnoliapitch.journal.state_machine import handles
-from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import VersionedEntry
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import handles
+from magnoliapitch.journal.state_machine import rejected
 
 
 @handles(CataloguePut)
--- a/src/magnoliapitch/journal/handler/job.py
+++ b/src/magnoliapitch/journal/handler/job.py
@@ -3,10 +3,6 @@
 from __future__ import annotations
 
 from magnoliapitch.job.spec import TaskOutcome
-from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
-from magnoliapitch.journal.state_machine import handles
-from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import JobCancel
 from magnoliapitch.journal.record import JobMove
 from magnoliapitch.journal.record import JobSubmit
@@ -15,6 +11,10 @@
 from magnoliapitch.journal.state import Claim
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import JobRecord
+from magnoliapitch.journal.state_machine import APPLIED
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import handles
+from magnoliapitch.journal.state_machine import rejected
 
 
 @handles(JobSubmit)
--- a/src/magnoliapitch/journal/handler/member.py
+++ b/src/magnoliapitch/journal/handler/member.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
-from magnoliapitch.journal.state_machine import handles
-from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import EntryJoin
 from magnoliapitch.journal.record import EntryLeave
 from magnoliapitch.journal.record import EntryPresence
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import Member
+from magnoliapitch.journal.state_machine import APPLIED
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import handles
+from magnoliapitch.journal.state_machine import rejected
 
 
 @handles(EntryJoin)
--- a/src/magnoliapitch/journal/handler/request.py
+++ b/src/magnoliapitch/journal/handler/request.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
+from magnoliapitch.journal.record import RequestIntent
+from magnoliapitch.journal.retention import MAX_INTENTS
 from magnoliapitch.journal.state_machine import APPLIED
 from magnoliapitch.journal.state_machine import EntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
-from magnoliapitch.journal.record import RequestIntent
-from magnoliapitch.journal.retention import MAX_INTENTS
 
 
 if TYPE_CHECKING:
--- a/src/magnoliapitch/journal/handler/snapshot.py
+++ b/src/magnoliapitch/journal/handler/snapshot.py
@@ -5,13 +5,13 @@
 
 from __future__ import annotations
 
+from magnoliapitch.journal.record import SnapshotPart
+from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state import SnapshotProgress
 from magnoliapitch.journal.state_machine import APPLIED
 from magnoliapitch.journal.state_machine import EntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
-from magnoliapitch.journal.record import SnapshotPart
-from magnoliapitch.journal.state import ClusterState
-from magnoliapitch.journal.state import SnapshotProgress
 
 
 MAX_SNAPSHOTS_IN_PROGRESS = 16
--- a/src/magnoliapitch/journal/handler/unit.py
+++ b/src/magnoliapitch/journal/handler/unit.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
-from magnoliapitch.journal.state_machine import handles
-from magnoliapitch.journal.state_machine import rejected
 from magnoliapitch.journal.record import UnitClaim
 from magnoliapitch.journal.record import UnitRelease
 from magnoliapitch.journal.state import Claim
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import APPLIED
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import handles
+from magnoliapitch.journal.state_machine import rejected
 
 
 @handles(UnitClaim)
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -12,14 +12,14 @@
 from magnoliapitch.event import log_event
 from magnoliapitch.journal import handler as _handler  # noqa: F401
 from magnoliapitch.journal.appender import Appender
-from magnoliapitch.journal.token_bucket import TokenBucket
-from magnoliapitch.journal.job_change import JobChangeFeed
-from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.follower import READ_MAX_RECORDS
 from magnoliapitch.journal.follower import Follower
+from magnoliapitch.journal.job_change import JobChangeFeed
 from magnoliapitch.journal.snapshot import take_snapshot
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.tail import RecordTail
+from magnoliapitch.journal.token_bucket import TokenBucket
 
 
 if TYPE_CHECKING:
@@ -29,12 +29,12 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.job_change import ChangedTask
-    from magnoliapitch.journal.state_machine import EntryOutcome
-    from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.journal.log import LogRecord
     from magnoliapitch.journal.log import PlatformLog
     from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.record import RecordEntry
+    from magnoliapitch.journal.state_machine import EntryOutcome
+    from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.peer.message import StateSnapshot
     from magnoliapitch.verdict import Failure
 
--- a/src/magnoliapitch/journal/pending_entry.py
+++ b/src/magnoliapitch/journal/pending_entry.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from magnoliapitch.journal.state_machine import EntryOutcome
     from magnoliapitch.journal.record import RecordEntry
+    from magnoliapitch.journal.state_machine import EntryOutcome
     from magnoliapitch.verdict import Failure
 
 
--- a/src/magnoliapitch/journal/record.py
+++ b/src/magnoliapitch/journal/record.py
@@ -93,7 +93,7 @@
 class EntryLeave(NamedTuple):
     """Announcement that an incarnation has stopped for good.
 
-    The incarnation appends it itself, or another instance that knows.
+    The incarnation itself appends it, or an instance that found it gone.
     """
 
     incarnation: str
--- a/tests/history/simulation.py
+++ b/tests/history/simulation.py
@@ -22,12 +22,12 @@
 from magnoliapitch.job.spec import JobSpec
 from magnoliapitch.job.spec import TaskOutcome
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.record import JobCancel
 from magnoliapitch.journal.record import JobSubmit
 from magnoliapitch.journal.record import TaskEnd
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.resource import Resources
 from magnoliapitch.settings.model import PlatformSettings
--- a/tests/history/test_request.py
+++ b/tests/history/test_request.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from magnoliapitch.history.request import ResponseReceived
-from magnoliapitch.history.request import RequestSent
 from magnoliapitch.history.request import ExecutionEnded
-from magnoliapitch.history.request import RequestEvent
 from magnoliapitch.history.request import ExecutionStarted
+from magnoliapitch.history.request import RequestEvent
+from magnoliapitch.history.request import RequestSent
+from magnoliapitch.history.request import ResponseReceived
 from magnoliapitch.history.request import check_requests
 from magnoliapitch.verdict import Verdict
 
--- a/tests/journal/test_appender.py
+++ b/tests/journal/test_appender.py
@@ -7,8 +7,8 @@
 
 from magnoliapitch.journal import Journal
 from magnoliapitch.journal import decode_record
-from magnoliapitch.journal.appender import BATCH_MAX_ENTRIES
 from magnoliapitch.journal.appender import BATCH_MAX_BYTES
+from magnoliapitch.journal.appender import BATCH_MAX_ENTRIES
 from magnoliapitch.journal.appender import QUEUE_MAX_ENTRIES
 from magnoliapitch.journal.record import EntryPresence
 from magnoliapitch.journal.record import JobCancel
--- a/tests/journal/test_job_move.py
+++ b/tests/journal/test_job_move.py
@@ -4,7 +4,6 @@
 
 from magnoliapitch.job.spec import JobSpec
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.journal.log import LogRecord
 from magnoliapitch.journal.record import EntryJoin
 from magnoliapitch.journal.record import EntryPresence
@@ -14,6 +13,7 @@
 from magnoliapitch.journal.record import RecordEntry
 from magnoliapitch.journal.record import UnitClaim
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.resource import Resources
 
 
--- a/tests/process/test_request_fault.py
+++ b/tests/process/test_request_fault.py
@@ -9,11 +9,11 @@
 
 import urllib3
 
-from magnoliapitch.history.request import ResponseReceived
-from magnoliapitch.history.request import RequestSent
 from magnoliapitch.history.request import ExecutionEnded
-from magnoliapitch.history.request import RequestEvent
 from magnoliapitch.history.request import ExecutionStarted
+from magnoliapitch.history.request import RequestEvent
+from magnoliapitch.history.request import RequestSent
+from magnoliapitch.history.request import ResponseReceived
 from magnoliapitch.history.request import check_requests
 from magnoliapitch.standin.backend import BackendFault
 from magnoliapitch.verdict import Verdict
--- a/tests/request/test_history.py
+++ b/tests/request/test_history.py
@@ -8,11 +8,11 @@
 import pytest
 
 from magnoliapitch.clock import ManualClock
-from magnoliapitch.history.request import ResponseReceived
-from magnoliapitch.history.request import RequestSent
 from magnoliapitch.history.request import ExecutionEnded
-from magnoliapitch.history.request import RequestEvent
 from magnoliapitch.history.request import ExecutionStarted
+from magnoliapitch.history.request import RequestEvent
+from magnoliapitch.history.request import RequestSent
+from magnoliapitch.history.request import ResponseReceived
 from magnoliapitch.history.request import check_requests
 from magnoliapitch.standin.backend import BackendFault
 from tests.request.conftest import Shape
