--- a/src/magnoliapitch/history/request.py
+++ b/src/magnoliapitch/history/request.py
@@ -66,7 +66,9 @@
     subject: str
 
 
-RequestEvent = RequestSent | ExecutionStarted | ExecutionEnded | ResponseReceived
+RequestEvent = (
+    RequestSent | ExecutionStarted | ExecutionEnded | ResponseReceived
+)
 
 
 def check_requests(
@@ -88,18 +90,31 @@
     )
 
 
-def _check_response_count(history: tuple[RequestEvent, ...]) -> Iterator[Violation]:
-    responses = Counter(item.attempt for item in history if isinstance(item, ResponseReceived))
+def _check_response_count(
+    history: tuple[RequestEvent, ...],
+) -> Iterator[Violation]:
+    responses = Counter(
+        item.attempt for item in history if isinstance(item, ResponseReceived)
+    )
     sent = {item.attempt for item in history if isinstance(item, RequestSent)}
     for attempt in sorted(sent | set(responses)):
         if attempt not in sent or responses[attempt] != 1:
             yield Violation("one response per attempt", attempt)
 
 
-def _check_echoed_body(history: tuple[RequestEvent, ...]) -> Iterator[Violation]:
-    bodies = {item.attempt: item.body for item in history if isinstance(item, RequestSent)}
+def _check_echoed_body(
+    history: tuple[RequestEvent, ...],
+) -> Iterator[Violation]:
+    bodies = {
+        item.attempt: item.body
+        for item in history
+        if isinstance(item, RequestSent)
+    }
     for event in history:
-        if not isinstance(event, ResponseReceived) or event.verdict is not None:
+        if (
+            not isinstance(event, ResponseReceived)
+            or event.verdict is not None
+        ):
             continue
         if event.body != bodies.get(event.attempt):
             yield Violation("response belongs to request", event.attempt)
@@ -108,10 +123,13 @@
 def _check_not_run_verdicts(
     history: tuple[RequestEvent, ...],
 ) -> Iterator[Violation]:
-    started = {item.attempt for item in history if isinstance(item, ExecutionStarted)}
+    started = {
+        item.attempt for item in history if isinstance(item, ExecutionStarted)
+    }
     for event in history:
         is_not_run = (
-            isinstance(event, ResponseReceived) and event.verdict is Verdict.NOT_RUN
+            isinstance(event, ResponseReceived)
+            and event.verdict is Verdict.NOT_RUN
         )
         if is_not_run and event.attempt in started:
             yield Violation("no execution after not_run", event.attempt)
@@ -120,7 +138,9 @@
 def _check_single_execution(
     history: tuple[RequestEvent, ...],
 ) -> Iterator[Violation]:
-    sent = {item.attempt: item for item in history if isinstance(item, RequestSent)}
+    sent = {
+        item.attempt: item for item in history if isinstance(item, RequestSent)
+    }
     executions = Counter(
         sent[item.attempt].name
         for item in history
@@ -136,10 +156,20 @@
 def _check_results_have_execution(
     history: tuple[RequestEvent, ...],
 ) -> Iterator[Violation]:
-    names = {item.attempt: item.name for item in history if isinstance(item, RequestSent)}
-    executed = {names.get(item.attempt) for item in history if isinstance(item, ExecutionStarted)}
+    names = {
+        item.attempt: item.name
+        for item in history
+        if isinstance(item, RequestSent)
+    }
+    executed = {
+        names.get(item.attempt)
+        for item in history
+        if isinstance(item, ExecutionStarted)
+    }
     for event in history:
-        is_result = isinstance(event, ResponseReceived) and event.verdict is None
+        is_result = (
+            isinstance(event, ResponseReceived) and event.verdict is None
+        )
         if is_result and names.get(event.attempt) not in executed:
             yield Violation("result only after an execution", event.attempt)
 
--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -141,7 +141,7 @@
 
         Records of other writers and duplicates are ignored.
         """
-        if outcome.writer != self._writer or outcome.repeated:
+        if outcome.writer != self._writer or outcome.is_duplicate:
             return
         with self._condition:
             batch = self._remove_sent(outcome.seq)
--- a/src/magnoliapitch/journal/handler/member.py
+++ b/src/magnoliapitch/journal/handler/member.py
@@ -36,9 +36,7 @@
     """Record the offset of a member's heartbeat."""
     member = state.members_by_incarnation.get(presence.incarnation)
     if member is None or member.left:
-        return rejected(
-            f"{presence.incarnation} has not joined or has left"
-        )
+        return rejected(f"{presence.incarnation} has not joined or has left")
     state.members_by_incarnation[presence.incarnation] = member._replace(
         presence_offset=offset
     )
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -78,7 +78,7 @@
         self._lock = threading.RLock()
         self._advanced = threading.Condition()
         self._state = ClusterState()
-        self._recent_records = RecordTail()
+        self._tail = RecordTail()
         self._job_changes = JobChangeFeed()
         self._budget = TokenBucket(appends_per_s, MAX_BURST_APPENDS, clock)
         self.appender = Appender(
@@ -163,7 +163,7 @@
             for record in records:
                 if record.offset == self._state.next_offset:
                     outcome = apply_record(self._state, record)
-                    self._recent_records.add(record)
+                    self._tail.add(record)
                     self.appender.resolve_applied(outcome)
                     self._job_changes.add(outcome)
                     _log_rejections(outcome)
@@ -179,7 +179,7 @@
             if state.next_offset <= self._state.next_offset:
                 return False
             self._state = state
-            self._recent_records.clear()
+            self._tail.clear()
             mark = state.marks_by_writer.get(self.incarnation)
             applied_seq = mark.seq if mark else 0
             self.appender.resolve_skipped(state.next_offset, applied_seq)
@@ -215,7 +215,7 @@
         :return: no records if the first one is not in memory.
         """
         with self._lock:
-            return self._recent_records.page(from_offset, limit)
+            return self._tail.page(from_offset, limit)
 
     def snapshot(self) -> StateSnapshot:
         """Return a snapshot of the current state."""
--- a/tests/history/fault.py
+++ b/tests/history/fault.py
@@ -79,7 +79,9 @@
 
 @fault
 def entry_cut_from_log(simulation: Simulation) -> Undo:
-    environment = simulation.instances_by_id[choose_instance(simulation)].environment
+    environment = simulation.instances_by_id[
+        choose_instance(simulation)
+    ].environment
     environment.is_log_unreachable = True
 
     def undo() -> None:
@@ -100,14 +102,18 @@
 @fault
 def peers_cut_one_way(simulation: Simulation) -> Undo:
     own = simulation.instances_by_id[choose_instance(simulation)].address
-    others = {instance.address for instance in simulation.instances_by_id.values()} - {own}
+    others = {
+        instance.address for instance in simulation.instances_by_id.values()
+    } - {own}
     return cut_peers(simulation, {(own, other) for other in others})
 
 
 @fault
 def peers_cut_two_ways(simulation: Simulation) -> Undo:
     own = simulation.instances_by_id[choose_instance(simulation)].address
-    others = {instance.address for instance in simulation.instances_by_id.values()} - {own}
+    others = {
+        instance.address for instance in simulation.instances_by_id.values()
+    } - {own}
     pairs = {(own, other) for other in others}
     return cut_peers(simulation, pairs | {(b, a) for a, b in pairs})
 
@@ -163,7 +169,9 @@
 
 @fault
 def worker_cut_from_entry(simulation: Simulation) -> Undo:
-    environment = simulation.instances_by_id[choose_instance(simulation)].environment
+    environment = simulation.instances_by_id[
+        choose_instance(simulation)
+    ].environment
     worker_id = choose_worker(simulation)
     environment.unreachable_workers.add(worker_id)
     return lambda: environment.unreachable_workers.discard(worker_id)
@@ -171,7 +179,9 @@
 
 @fault
 def late_worker_calls(simulation: Simulation) -> Undo:
-    environment = simulation.instances_by_id[choose_instance(simulation)].environment
+    environment = simulation.instances_by_id[
+        choose_instance(simulation)
+    ].environment
     environment.call_delay_max_ms = 20_000
     environment.delayed_call_share = 0.3
 
--- a/tests/history/simulation.py
+++ b/tests/history/simulation.py
@@ -167,9 +167,14 @@
         simulation = environment.simulation
         if worker.instance_id in environment.unreachable_workers:
             return Err(UNREACHABLE)
-        if not environment.delayed_call_share or simulation.rng.random() > environment.delayed_call_share:
+        if (
+            not environment.delayed_call_share
+            or simulation.rng.random() > environment.delayed_call_share
+        ):
             return call()
-        delay_ms = int(simulation.rng.integers(0, environment.call_delay_max_ms))
+        delay_ms = int(
+            simulation.rng.integers(0, environment.call_delay_max_ms)
+        )
         return simulation.delay(delay_ms, call)
 
 
@@ -230,7 +235,9 @@
     def delay(
         self, delay_ms: int, call: Callable[[], object]
     ) -> Result[WorkerView, Failure]:
-        self.delayed_calls.append(DelayedCall(self.clock.now_ms() + delay_ms, call))
+        self.delayed_calls.append(
+            DelayedCall(self.clock.now_ms() + delay_ms, call)
+        )
         return Err(NO_ANSWER)
 
     def add_instance(self, instance_id: str, zone: str) -> SimulatedInstance:
@@ -276,7 +283,9 @@
             if name.startswith(zone)
         ]
         addresses = {instance.address for instance in inside}
-        other_addresses = {a.address for a in self.instances_by_id.values()} - addresses
+        other_addresses = {
+            a.address for a in self.instances_by_id.values()
+        } - addresses
         pairs = {(a, b) for a in addresses for b in other_addresses}
         pairs |= {(b, a) for a, b in pairs}
         self.network.cuts |= pairs
@@ -294,7 +303,9 @@
         self.clock.advance(duration_ms)
         now_ms = self.clock.now_ms()
         due = [item for item in self.delayed_calls if item.due_ms <= now_ms]
-        self.delayed_calls = [item for item in self.delayed_calls if item.due_ms > now_ms]
+        self.delayed_calls = [
+            item for item in self.delayed_calls if item.due_ms > now_ms
+        ]
         for delayed_call in due:
             delayed_call.run()
         names = sorted(self.instances_by_id)
@@ -329,7 +340,9 @@
             self.pending.append((pending, spec))
 
     def cancel(self, instance_id: str, job_id: str) -> None:
-        self.instances_by_id[instance_id].core.journal.enqueue(JobCancel(job_id))
+        self.instances_by_id[instance_id].core.journal.enqueue(
+            JobCancel(job_id)
+        )
 
     def all_jobs_done(self) -> bool:
         core = next(iter(self.instances_by_id.values())).core
--- a/tests/history/test_checker.py
+++ b/tests/history/test_checker.py
@@ -15,7 +15,10 @@
 
 
 ONE = Resources(1_000)
-CAPACITIES: list[Event] = [WorkerCapacityReported(0, "w1", ONE), WorkerCapacityReported(0, "w2", ONE)]
+CAPACITIES: list[Event] = [
+    WorkerCapacityReported(0, "w1", ONE),
+    WorkerCapacityReported(0, "w2", ONE),
+]
 VALID_RUN: list[Event] = [
     *CAPACITIES,
     JobAccepted(0, "j", 1),
--- a/tests/history/test_request.py
+++ b/tests/history/test_request.py
@@ -30,15 +30,27 @@
 @pytest.mark.parametrize(
     ("extra", "invariant"),
     [
-        ((ResponseReceived("a1", Verdict.MAY_HAVE_RUN),), "one response per attempt"),
+        (
+            (ResponseReceived("a1", Verdict.MAY_HAVE_RUN),),
+            "one response per attempt",
+        ),
         ((RequestSent("c1", "c", b"c"),), "one response per attempt"),
-        ((ResponseReceived("x", Verdict.NOT_RUN),), "one response per attempt"),
+        (
+            (ResponseReceived("x", Verdict.NOT_RUN),),
+            "one response per attempt",
+        ),
         (
             (RequestSent("a3", "a", b"a"), ResponseReceived("a3", None, b"b")),
             "response belongs to request",
         ),
-        ((ExecutionStarted("b1", "s"), ExecutionEnded("b1", "s")), "no execution after not_run"),
-        ((ExecutionStarted("a2", "s"), ExecutionEnded("a2", "s")), "at most one execution"),
+        (
+            (ExecutionStarted("b1", "s"), ExecutionEnded("b1", "s")),
+            "no execution after not_run",
+        ),
+        (
+            (ExecutionStarted("a2", "s"), ExecutionEnded("a2", "s")),
+            "at most one execution",
+        ),
         (
             (RequestSent("c1", "c", b"c"), ResponseReceived("c1", None, b"c")),
             "result only after an execution",
--- a/tests/history/test_schedule.py
+++ b/tests/history/test_schedule.py
@@ -35,7 +35,9 @@
     simulation = Simulation(rng)
     simulation.run(WARM_UP_MS)
     for number, (zone, tasks) in enumerate(JOBS):
-        simulation.submit(f"{zone}-0", f"job-{number}", tasks, f"{zone}-rack-1")
+        simulation.submit(
+            f"{zone}-0", f"job-{number}", tasks, f"{zone}-rack-1"
+        )
     undo_at: list[tuple[int, int]] = []
     undos = []
     for name in names:
@@ -44,7 +46,9 @@
             break
         undos.append(faults_by_name[name](simulation))
         duration_ms = int(rng.integers(1_000, FAULT_MAX_MS))
-        undo_at.append((simulation.clock.now_ms() + duration_ms, len(undos) - 1))
+        undo_at.append(
+            (simulation.clock.now_ms() + duration_ms, len(undos) - 1)
+        )
     for at_ms, index in sorted(undo_at):
         simulation.run(max(at_ms - simulation.clock.now_ms(), 0))
         undos[index]()
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -170,10 +170,13 @@
     for name in names:
         simulation.add_instance(name, name.rpartition("-")[0])
     simulation.run(500, TICK_MS)
-    restarted_lease_ids = {item.lease_id for item in starts_after(simulation, died_ms)}
+    restarted_lease_ids = {
+        item.lease_id for item in starts_after(simulation, died_ms)
+    }
     assert not restarted_lease_ids
     running = [
-        instance.core.jobs.dump()["running"] for instance in simulation.instances_by_id.values()
+        instance.core.jobs.dump()["running"]
+        for instance in simulation.instances_by_id.values()
     ]
     assert any(running)
     finish_all_jobs(simulation)
--- a/tests/journal/test_http_log.py
+++ b/tests/journal/test_http_log.py
@@ -76,7 +76,9 @@
     assert HttpInstanceList(url).instances().is_err()
 
 
-def test_problem_responses_keep_their_verdict(server: FixedResponseServer) -> None:
+def test_problem_responses_keep_their_verdict(
+    server: FixedResponseServer,
+) -> None:
     server.status = 503
     server.body = orjson.dumps(
         {"verdict": "not_run", "title": "unavailable", "detail": "down"}
--- a/tests/journal/test_snapshot.py
+++ b/tests/journal/test_snapshot.py
@@ -172,8 +172,7 @@
 ) -> None:
     journals = [joined_journal(log, clock, name) for name in "abc"]
     writers = [
-        SnapshotWriter(item, snapshot_interval_records=50)
-        for item in journals
+        SnapshotWriter(item, snapshot_interval_records=50) for item in journals
     ]
     retained_records = 40
     written_count = 0
--- a/tests/process/test_request_fault.py
+++ b/tests/process/test_request_fault.py
@@ -127,7 +127,9 @@
         thread.join(WAIT_S)
         assert not thread.is_alive()
     assert check_requests(events, SLOTS) == ()
-    results = [e for e in events if isinstance(e, ResponseReceived) and not e.verdict]
+    results = [
+        e for e in events if isinstance(e, ResponseReceived) and not e.verdict
+    ]
     assert results
 
 
