--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -179,7 +179,7 @@
             return len(self._queue)
 
     def has_unsent(self) -> bool:
-        """Return whether an entry or a batch waits to be appended."""
+        """Return whether entries wait to be appended or confirmed."""
         with self._condition:
             return bool(self._queue) or self._batch is not None
 
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -124,7 +124,7 @@
         return self.appender.step(wait_ms)
 
     def has_unsent(self) -> bool:
-        """Return whether an entry or a batch waits to be appended."""
+        """Return whether entries wait to be appended or confirmed."""
         return self.appender.has_unsent()
 
     def follow_step(self, wait_ms: int = 0) -> int:
