--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -19,12 +19,12 @@
 from magnoliapitch.bench.decisions.scale import decision_cost
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state_machine import apply_record
+from magnoliapitch.json_value import to_json_value
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.peer import codec
 from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
-from magnoliapitch.plain import to_plain
 from magnoliapitch.worker.lease import WorkerView
 
 
@@ -118,7 +118,7 @@
 def listed_instances(size: int) -> Callable[[], object]:
     """Decode the platform's list of workers."""
     workers = tuple(sample.worker_info(number) for number in range(size))
-    encoded = orjson.dumps(to_plain(workers))
+    encoded = orjson.dumps(to_json_value(workers))
     return lambda: _INSTANCES.validate_json(encoded)
 
 
--- a/src/magnoliapitch/catalogue/file.py
+++ b/src/magnoliapitch/catalogue/file.py
@@ -61,7 +61,7 @@
         location = problem.partition(":")[0]
         parent, _, key = location.rpartition(".")
         table = f"{TABLE}.{parent}" if parent else TABLE
-        lines.append(f"{file.where(table, key, table_index)}: {problem}")
+        lines.append(f"{file.locate(table, key, table_index)}: {problem}")
     return lines
 
 
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -1,4 +1,4 @@
-"""Runs a controller: its thread, its calls and its events."""
+"""Runs the controller while this instance leads, with threads for calls."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from magnoliapitch.advice.lanes import Lane
 from magnoliapitch.advice.lanes import LanePool
 from magnoliapitch.control.controller import Controller
-from magnoliapitch.control.events import Advised
 from magnoliapitch.control.events import Committed
 from magnoliapitch.control.events import ConfigurationChanged
 from magnoliapitch.control.events import Event
 from magnoliapitch.control.events import JobsChanged
+from magnoliapitch.control.events import PermitsAnswered
 from magnoliapitch.control.events import StartAnswered
 from magnoliapitch.control.events import StopAnswered
 from magnoliapitch.control.events import WorkerReported
 from magnoliapitch.control.events import WorkersListed
-from magnoliapitch.control.link import WorkerLink
+from magnoliapitch.control.lease_renewer import LeaseRenewer
 from magnoliapitch.control.order_sender import OrderSender
 from magnoliapitch.event import log_event
 from magnoliapitch.ledger.members import Members
@@ -47,7 +47,7 @@
     from magnoliapitch.ledger.leadership import Leadership
     from magnoliapitch.ledger.state_table import StateTable
     from magnoliapitch.metric import Metrics
-    from magnoliapitch.planner.plan import PlannedAsk
+    from magnoliapitch.planner.plan import PlannedPermitRequest
     from magnoliapitch.planner.plan import PlannedStart
     from magnoliapitch.workload.configuration import Configuration
     from magnoliapitch.workload.run import StartOrder
@@ -55,18 +55,22 @@
     from magnoliapitch.workload.worker import WorkerInfo
 
 
-ASK_THREADS = 40
-LIST_INTERVAL_MS = 500
+ADVISOR_THREAD_COUNT = 40
+WORKER_LIST_INTERVAL_MS = 500
 ROUND_INTERVAL_MS = 6
-IDLE_INTERVAL_MS = 200
-COMMIT_RETRY_MS = 80
-# One call drops at most this many jobs.
-FORGET_MAX_JOBS = 500
-STANDBY_PAUSE_MS = 50
+MAX_EVENT_WAIT_MS = 200
+COMMIT_RETRY_DELAY_MS = 80
+# Limit for one call to the store.
+MAX_JOBS_PER_DELETION = 500
+STANDBY_POLL_INTERVAL_MS = 50
 
 
 class Clients(NamedTuple):
-    """Outside systems that a leader calls."""
+    """Clients of the systems that a leader calls.
+
+    :param lanes: distributes advisor calls over the instances.
+    :param members: lists the other instances.
+    """
 
     workers: WorkerClient
     lanes: LanePool
@@ -75,12 +79,18 @@
 
 
 class ControlDriver:
-    """Decides while this instance leads; also the controller's effects."""
+    """Runs a controller while this instance leads and is its ``Effects``.
+
+    :param configuration: returns the newest configuration, or None if none
+        was read yet.
+    :param open_archive: opens the archive of jobs; takes a callback for the
+        ids of jobs that were submitted or cancelled.
+    """
 
     def __init__(
         self,
         leadership: Leadership,
-        states: StateTable,
+        state_table: StateTable,
         clients: Clients,
         timing: ControlTiming,
         clock: Clock,
@@ -89,7 +99,7 @@
         metrics: Metrics,
     ) -> None:
         self._leadership = leadership
-        self._states = states
+        self._state_table = state_table
         self._clients = clients
         self._timing = timing
         self._clock = clock
@@ -97,38 +107,45 @@
         self._open_archive = open_archive
         self._metrics = metrics
         self._archive: Archive | None = None
-        self._to_forget: set[str] = set()
+        self._job_ids_to_delete: set[str] = set()
         self._events: queue.SimpleQueue[Event] = queue.SimpleQueue()
-        self._link_by_worker: dict[str, WorkerLink] = {}
+        self._renewer_by_worker: dict[str, LeaseRenewer] = {}
         self._controller: Controller | None = None
-        self._sender = OrderSender(clients.workers, clock, self.post, metrics)
-        self._commits = ThreadPoolExecutor(1, "commits")
-        self._asks = ThreadPoolExecutor(ASK_THREADS, "asks")
-        self._lists = ThreadPoolExecutor(1, "lists")
-        self._is_listing = False
-        self._listed_ms = 0
+        self._order_sender = OrderSender(
+            clients.workers, clock, self.post, metrics
+        )
+        self._commit_executor = ThreadPoolExecutor(1, "commits")
+        self._advisor_executor = ThreadPoolExecutor(
+            ADVISOR_THREAD_COUNT, "asks"
+        )
+        self._list_executor = ThreadPoolExecutor(1, "lists")
+        self._is_refreshing = False
+        self._refreshed_ms = 0
         self._is_stopping = False
 
     def post(self, event: Event) -> None:
-        """Hand an event to the controller, if there is one."""
+        """Queue an event for the controller; drop it if there is none."""
         if self._controller is not None:
             self._events.put(event)
 
     def stop(self) -> None:
-        """Decide nothing more."""
+        """Stop after the current round and resign from leadership."""
         self._is_stopping = True
 
     def step(self) -> int:
-        """Decide one round if this instance leads."""
-        controller = self._controller or self._begin()
+        """Run one round if this instance leads.
+
+        :return: pause until the next call, in milliseconds.
+        """
+        controller = self._controller or self._start_leading()
         if controller is None:
-            return STANDBY_PAUSE_MS
+            return STANDBY_POLL_INTERVAL_MS
         if controller.is_over or self._is_stopping:
-            self._end()
-            return STANDBY_PAUSE_MS
-        return self._round(controller)
+            self._stop_leading()
+            return STANDBY_POLL_INTERVAL_MS
+        return self._run_round(controller)
 
-    def _begin(self) -> Controller | None:
+    def _start_leading(self) -> Controller | None:
         claim = self._leadership.claim
         if claim is None or self._is_stopping:
             return None
@@ -136,16 +153,16 @@
         for prepare in (self._leadership.fence, archive.load):
             outcome = prepare()
             if isinstance(outcome, Err):
-                self._note_unprepared(outcome.err_value)
+                self._handle_unprepared(outcome.err_value)
                 return None
         self._events = queue.SimpleQueue()
-        self._listed_ms = 0
+        self._refreshed_ms = 0
         controller = Controller(
             claim.record,
             claim.stored_ms,
             self._timing,
             archive.replica,
-            self._states,
+            self._state_table,
             self,
             self._configuration,
             self._metrics,
@@ -156,85 +173,88 @@
         return controller
 
     def follow_jobs(self) -> int:
-        """Read newly submitted jobs while this instance leads."""
+        """Read newly submitted jobs if this instance leads.
+
+        :return: pause until the next call, in milliseconds.
+        """
         archive = self._archive
-        return STANDBY_PAUSE_MS if archive is None else archive.step()
+        return STANDBY_POLL_INTERVAL_MS if archive is None else archive.step()
 
-    def _note_unprepared(self, failure: Failure) -> None:
+    def _handle_unprepared(self, failure: Failure) -> None:
         if failure.code in (FailureCode.FENCED, FailureCode.SEQUENCE):
             self._leadership.step_down()
         log_event("leadership-unprepared", reason=failure.detail)
 
-    def _end(self) -> None:
+    def _stop_leading(self) -> None:
         self._controller = None
         self._archive = None
-        for worker_id in list(self._link_by_worker):
-            self.close_link(worker_id)
+        for worker_id in list(self._renewer_by_worker):
+            self.stop_lease_renewal(worker_id)
         if self._is_stopping:
-            self._commits.shutdown()
+            self._commit_executor.shutdown()
             self._leadership.resign()
         self._leadership.step_down()
 
-    def _round(self, controller: Controller) -> int:
+    def _run_round(self, controller: Controller) -> int:
         started_ms = self._clock.now_ms()
-        self._list_workers(started_ms)
+        self._refresh_worker_list(started_ms)
         for event in self._next_events():
-            self._handle(controller, event)
+            self._dispatch(controller, event)
         now_ms = self._clock.now_ms()
-        controller.step(now_ms, time.time_ns() // 1_000_000)
+        controller.run_round(now_ms, time.time_ns() // 1_000_000)
         elapsed_ms = self._clock.now_ms() - started_ms
         return max(0, ROUND_INTERVAL_MS - elapsed_ms)
 
     def _next_events(self) -> list[Event]:
         events: list[Event] = []
         try:
-            events.append(self._events.get(timeout=IDLE_INTERVAL_MS / 1000))
+            events.append(self._events.get(timeout=MAX_EVENT_WAIT_MS / 1000))
             while True:
                 events.append(self._events.get_nowait())
         except queue.Empty:
             return events
 
-    def _handle(self, controller: Controller, event: Event) -> None:
+    def _dispatch(self, controller: Controller, event: Event) -> None:
         now_ms = self._clock.now_ms()
         if isinstance(event, WorkerReported):
-            controller.note_report(event)
+            controller.handle_report(event)
         elif isinstance(event, StartAnswered):
-            controller.note_start(event)
+            controller.handle_start_answer(event)
         elif isinstance(event, StopAnswered):
-            controller.note_stop(event)
+            controller.handle_stop_answer(event)
         elif isinstance(event, Committed):
-            controller.note_commit(event, now_ms)
+            controller.handle_commit(event, now_ms)
         elif isinstance(event, JobsChanged):
-            controller.note_jobs(event.job_ids, now_ms)
+            controller.handle_jobs_changed(event.job_ids, now_ms)
         elif isinstance(event, WorkersListed):
-            controller.note_workers(event)
-        elif isinstance(event, Advised):
-            controller.note_advice(event)
+            controller.handle_worker_list(event)
+        elif isinstance(event, PermitsAnswered):
+            controller.handle_permits(event)
         elif isinstance(event, ConfigurationChanged):
-            controller.note_configuration(now_ms)
+            controller.handle_configuration_changed(now_ms)
 
-    def _list_workers(self, now_ms: int) -> None:
-        is_due = now_ms - self._listed_ms >= LIST_INTERVAL_MS
-        if is_due and not self._is_listing:
-            self._is_listing = True
-            self._listed_ms = now_ms
-            self._lists.submit(self._list_now)
+    def _refresh_worker_list(self, now_ms: int) -> None:
+        is_due = now_ms - self._refreshed_ms >= WORKER_LIST_INTERVAL_MS
+        if is_due and not self._is_refreshing:
+            self._is_refreshing = True
+            self._refreshed_ms = now_ms
+            self._list_executor.submit(self._refresh_now)
 
-    def _forget_now(self) -> None:
+    def _delete_jobs_now(self) -> None:
         archive = self._archive
-        if archive is None or not self._to_forget:
+        if archive is None or not self._job_ids_to_delete:
             return
-        job_ids = sorted(self._to_forget)[:FORGET_MAX_JOBS]
+        job_ids = sorted(self._job_ids_to_delete)[:MAX_JOBS_PER_DELETION]
         if not isinstance(archive.forget(job_ids), Err):
-            self._to_forget.difference_update(job_ids)
+            self._job_ids_to_delete.difference_update(job_ids)
 
-    def _list_now(self) -> None:
-        self._forget_now()
+    def _refresh_now(self) -> None:
+        self._delete_jobs_now()
         peers = self._clients.members.peers()
         if not isinstance(peers, Err):
             self._clients.lanes.set_peers(peers.ok_value)
         outcome = self._clients.directory.workers()
-        self._is_listing = False
+        self._is_refreshing = False
         if isinstance(outcome, Err):
             log_event(
                 "worker-list-unavailable", reason=outcome.err_value.detail
@@ -242,83 +262,92 @@
             return
         self.post(WorkersListed(outcome.ok_value))
 
-    def open_link(self, worker: WorkerInfo) -> None:
-        """Renew a worker's lease from now on."""
+    def start_lease_renewal(self, worker: WorkerInfo) -> None:
+        """Start a thread that renews a worker's lease repeatedly."""
         controller = self._controller
         if controller is None:
             return
         worker_id = worker.worker_id
-        link = WorkerLink(
+        renewer = LeaseRenewer(
             worker,
             controller.epoch,
             self._clients.workers,
             self._clock,
-            lambda now_ms: controller.deadline(worker_id, now_ms),
+            lambda now_ms: controller.next_lease_deadline(worker_id, now_ms),
             self.post,
         )
-        self._link_by_worker[worker_id] = link
-        link.open()
+        self._renewer_by_worker[worker_id] = renewer
+        renewer.start()
 
-    def close_link(self, worker_id: str) -> None:
-        """Renew a worker's lease no more."""
-        link = self._link_by_worker.pop(worker_id, None)
-        if link is not None:
-            link.close()
+    def stop_lease_renewal(self, worker_id: str) -> None:
+        """Stop the thread that renews a worker's lease, if there is one."""
+        renewer = self._renewer_by_worker.pop(worker_id, None)
+        if renewer is not None:
+            renewer.stop()
 
-    def acknowledge(self, worker_id: str, number: int) -> None:
-        """Let a worker forget ends up to a number."""
-        link = self._link_by_worker.get(worker_id)
-        if link is not None:
-            link.acknowledge(number)
+    def acknowledge(self, worker_id: str, sequence: int) -> None:
+        """Let a worker drop ended runs up to a sequence number."""
+        renewer = self._renewer_by_worker.get(worker_id)
+        if renewer is not None:
+            renewer.acknowledge(sequence)
 
     def start(
         self, worker: WorkerInfo, planned: PlannedStart, order: StartOrder
     ) -> None:
         """Order a worker to start a run."""
-        self._sender.start(worker, planned, order)
+        self._order_sender.start(worker, planned, order)
 
-    def stop_run(self, worker: WorkerInfo, order: StopOrder) -> None:
+    def order_stop(self, worker: WorkerInfo, order: StopOrder) -> None:
         """Order a worker to stop a run."""
-        self._sender.stop_run(worker, order)
+        self._order_sender.order_stop(worker, order)
 
     def commit(self, batch: Batch) -> None:
         """Store records under the leader's epoch."""
-        self._commits.submit(self._commit_now, batch)
+        self._commit_executor.submit(self._commit_now, batch)
+
+    def delete_jobs(self, job_ids: Sequence[str]) -> None:
+        """Mark stored jobs for deletion, which happens in batches."""
+        self._job_ids_to_delete.update(job_ids)
 
-    def forget(self, job_ids: Sequence[str]) -> None:
-        """Drop stored jobs that are over, many together."""
-        self._to_forget.update(job_ids)
+    def request_permits(
+        self, request: PlannedPermitRequest, timeout_ms: int
+    ) -> bool:
+        """Call the advisor for permits if a lane is idle.
 
-    def ask(self, ask: PlannedAsk, timeout_ms: int) -> bool:
-        """Ask the advisor, unless all that can ask are busy."""
-        lane = self._clients.lanes.reserve(ask)
+        :return: whether the call was started.
+        """
+        lane = self._clients.lanes.reserve(request)
         if lane is None:
             return False
-        self._asks.submit(self._ask_now, lane, ask, timeout_ms)
+        self._advisor_executor.submit(
+            self._request_permits_now, lane, request, timeout_ms
+        )
         return True
 
-    def idle_lanes(self) -> int:
-        """Return how many calls to the advisor can be begun now."""
+    def available_advisor_calls(self) -> int:
+        """Return the number of advisor calls that can be started now."""
         return self._clients.lanes.idle()
 
     def _commit_now(self, batch: Batch) -> None:
-        outcome: Result[int, Failure] = Err(_over())
+        outcome: Result[int, Failure] = Err(_stopped())
         sent_ms = self._clock.now_ms()
         while not self._is_stopping and self._controller is not None:
             sent_ms = self._clock.now_ms()
             outcome = self._leadership.commit(batch)
-            if isinstance(outcome, Ok) or _is_final(outcome.err_value):
+            if isinstance(outcome, Ok) or _is_permanent(outcome.err_value):
                 break
-            time.sleep(COMMIT_RETRY_MS / 1000)
+            time.sleep(COMMIT_RETRY_DELAY_MS / 1000)
         self.post(Committed(outcome, sent_ms))
 
-    def _ask_now(self, lane: Lane, ask: PlannedAsk, timeout_ms: int) -> None:
+    def _request_permits_now(
+        self, lane: Lane, request: PlannedPermitRequest, timeout_ms: int
+    ) -> None:
         sent_ms = self._clock.now_ms()
-        outcome = self._clients.lanes.call(lane, ask, timeout_ms)
-        self.post(Advised(ask, outcome, sent_ms))
+        outcome = self._clients.lanes.call(lane, request, timeout_ms)
+        self.post(PermitsAnswered(request, outcome, sent_ms))
 
 
-def _is_final(failure: Failure) -> bool:
+def _is_permanent(failure: Failure) -> bool:
     return failure.code in (
         FailureCode.FENCED,
         FailureCode.SEQUENCE,
@@ -326,5 +355,5 @@
     )
 
 
-def _over() -> Failure:
-    return not_run(FailureCode.SHUTTING_DOWN, "the instance stops")
+def _stopped() -> Failure:
+    return not_run(FailureCode.SHUTTING_DOWN, "this instance is stopping")
--- /dev/null
+++ b/src/magnoliapitch/control/progress_batcher.py
@@ -0,0 +1,206 @@
+"""Batches of the records that a leader stores: progress and job states."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from magnoliapitch.ledger.leadership import Batch
+from magnoliapitch.ledger.records import LEADER_KEY
+from magnoliapitch.ledger.records import PROGRESS_PREFIX
+from magnoliapitch.ledger.records import STATE_PREFIX
+from magnoliapitch.ledger.records import encode_leader
+from magnoliapitch.ledger.records import encode_progress
+from magnoliapitch.ledger.state_table import FINAL_STATES
+from magnoliapitch.ledger.state_table import JobState
+from magnoliapitch.ledger.state_table import ShownJob
+from magnoliapitch.ledger.stream import KeyedRecord
+from magnoliapitch.workload.progress import JobOutcome
+
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from collections.abc import Sequence
+
+    from magnoliapitch.control.timing import ControlTiming
+    from magnoliapitch.ledger.records import LeaderRecord
+    from magnoliapitch.ledger.state_table import StateTable
+    from magnoliapitch.planner.scheduler_state import SchedulerState
+    from magnoliapitch.planner.tracked import TrackedJob
+    from magnoliapitch.workload.progress import JobProgress
+
+
+# Interval of the records that show the other instances that the leader is
+# alive while it has nothing else to store.
+HEARTBEAT_INTERVAL_MS = 300
+
+_STATE_BY_OUTCOME = {
+    JobOutcome.COMPLETED: JobState.COMPLETED,
+    JobOutcome.FAILED: JobState.FAILED,
+    JobOutcome.CANCELLED: JobState.CANCELLED,
+}
+
+
+class ProgressBatcher:
+    """Collects changed progress and job states into one batch at a time.
+
+    :param delete_jobs: deletes stored jobs that have ended.
+    """
+
+    def __init__(
+        self,
+        state: SchedulerState,
+        state_table: StateTable,
+        leader: LeaderRecord,
+        timing: ControlTiming,
+        delete_jobs: Callable[[Sequence[str]], None],
+    ) -> None:
+        self._state = state
+        self._state_table = state_table
+        self._leader = leader
+        self._timing = timing
+        self._delete_jobs = delete_jobs
+        self._published_ms = 0
+        self._progress_in_commit_by_id: dict[str, JobProgress] = {}
+        self._states_in_commit_by_id: dict[str, ShownJob] = {}
+        # Jobs whose current state may differ from the published one.
+        self._unpublished_job_ids: set[str] = set()
+        # Jobs whose final progress is stored and that can be removed.
+        self._finished_job_ids: set[str] = set()
+        self._ended_ms_by_job: dict[str, int] = {}
+
+    def load(self, now_ms: int) -> None:
+        """Start from the job states that former leaders published."""
+        self._published_ms = now_ms
+        for job_id in self._state_table.ended_ids():
+            self._ended_ms_by_job[job_id] = now_ms
+
+    def has_ended(self, job_id: str) -> bool:
+        """Return whether a final state of a job is published."""
+        shown = self._state_table.get(job_id)
+        return shown is not None and shown.state in FINAL_STATES
+
+    def record_added(self, job_id: str) -> None:
+        """Record a job that was added to the scheduler's state."""
+        self._unpublished_job_ids.add(job_id)
+        if self._state.jobs_by_id[job_id].outcome is not JobOutcome.OPEN:
+            # A former leader stored the final progress but did not publish
+            # the final state.
+            self._state.unsaved_job_ids.add(job_id)
+
+    def next_batch(self, now_ms: int, has_starts: bool) -> Batch | None:
+        """Return the batch to store now, or None if there is nothing to store.
+
+        :param has_starts: whether start orders wait for the batch.
+        """
+        is_quiet = now_ms - self._published_ms < HEARTBEAT_INTERVAL_MS
+        has_news = (
+            has_starts
+            or self._state.unsaved_job_ids
+            or self._unpublished_job_ids
+        )
+        if is_quiet and not has_news:
+            return None
+        batch = Batch(self._progress_records(), self._state_records(now_ms))
+        if batch.states:
+            self._published_ms = now_ms
+        return batch
+
+    def record_stored(self, now_ms: int) -> None:
+        """Record that the last batch was stored."""
+        stored, self._progress_in_commit_by_id = (
+            self._progress_in_commit_by_id,
+            {},
+        )
+        for job_id, progress in stored.items():
+            if progress.outcome is not JobOutcome.OPEN:
+                self._finished_job_ids.add(job_id)
+                self._ended_ms_by_job[job_id] = now_ms
+        for job_id, shown in self._states_in_commit_by_id.items():
+            self._state_table.put(job_id, shown)
+        self._states_in_commit_by_id = {}
+
+    def _progress_records(self) -> tuple[KeyedRecord, ...]:
+        removed = self._remove_finished_jobs()
+        self._unpublished_job_ids |= self._state.unsaved_job_ids
+        self._progress_in_commit_by_id = {
+            job_id: self._state.progress(job_id)
+            for job_id in sorted(self._state.unsaved_job_ids)
+            if job_id in self._state.jobs_by_id
+        }
+        self._state.unsaved_job_ids.clear()
+        return (
+            *(
+                KeyedRecord(PROGRESS_PREFIX + job_id, b"")
+                for job_id in removed
+            ),
+            *(
+                KeyedRecord(
+                    PROGRESS_PREFIX + job_id, encode_progress(progress)
+                )
+                for job_id, progress in self._progress_in_commit_by_id.items()
+            ),
+        )
+
+    def _remove_finished_jobs(self) -> list[str]:
+        """Remove jobs whose final progress is stored and without active runs.
+
+        :return: ids of the removed jobs.
+        """
+        removed = [
+            job_id
+            for job_id in self._finished_job_ids
+            if job_id not in self._state.unsaved_job_ids
+            and not self._has_runs(job_id)
+        ]
+        for job_id in removed:
+            self._finished_job_ids.discard(job_id)
+            self._state.remove_job(job_id)
+        if removed:
+            self._delete_jobs(removed)
+        return removed
+
+    def _has_runs(self, job_id: str) -> bool:
+        job = self._state.jobs_by_id.get(job_id)
+        return job is not None and any(
+            step.all_active_runs() for step in job.all_steps()
+        )
+
+    def _state_records(self, now_ms: int) -> tuple[KeyedRecord, ...]:
+        unpublished, self._unpublished_job_ids = (
+            self._unpublished_job_ids,
+            set(),
+        )
+        for job_id in sorted(unpublished):
+            job = self._state.jobs_by_id.get(job_id)
+            if job is None:
+                continue
+            shown = ShownJob(_job_state(job), job.spec.queue)
+            if self._state_table.get(job_id) != shown:
+                self._states_in_commit_by_id[job_id] = shown
+        records = [
+            KeyedRecord(STATE_PREFIX + job_id, shown.encode())
+            for job_id, shown in self._states_in_commit_by_id.items()
+        ]
+        if (
+            not records
+            and now_ms - self._published_ms >= HEARTBEAT_INTERVAL_MS
+        ):
+            leader = encode_leader(self._leader)
+            records = [KeyedRecord(LEADER_KEY, leader)]
+        return (*records, *self._expired_states(now_ms))
+
+    def _expired_states(self, now_ms: int) -> list[KeyedRecord]:
+        expired: list[KeyedRecord] = []
+        for job_id, ended_ms in list(self._ended_ms_by_job.items()):
+            if now_ms - ended_ms < self._timing.keep_states_ms:
+                break
+            del self._ended_ms_by_job[job_id]
+            self._state_table.put(job_id, None)
+            expired.append(KeyedRecord(STATE_PREFIX + job_id, b""))
+        return expired
+
+
+def _job_state(job: TrackedJob) -> JobState:
+    if job.outcome is not JobOutcome.OPEN:
+        return _STATE_BY_OUTCOME[job.outcome]
+    return JobState.RUNNING if job.has_begun else JobState.PENDING
--- a/src/magnoliapitch/metric/__init__.py
+++ b/src/magnoliapitch/metric/__init__.py
@@ -1,20 +1,20 @@
-"""Counters, waiting times and the cost of the process itself."""
+"""Counters, timers and the resource usage of the process."""
 
 from __future__ import annotations
 
-from magnoliapitch.metric.cost import CostMeter
-from magnoliapitch.metric.cost import ProcessCost
 from magnoliapitch.metric.metrics import Metrics
-from magnoliapitch.metric.text import exposition
+from magnoliapitch.metric.process_usage import ProcessUsage
+from magnoliapitch.metric.process_usage import ProcessUsageMeter
+from magnoliapitch.metric.prometheus import prometheus_text
 from magnoliapitch.metric.timer import Timer
 from magnoliapitch.metric.timer import TimerSummary
 
 
 __all__ = [
-    "CostMeter",
+    "ProcessUsageMeter",
     "Metrics",
-    "ProcessCost",
+    "ProcessUsage",
     "Timer",
     "TimerSummary",
-    "exposition",
+    "prometheus_text",
 ]
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -208,7 +208,7 @@
         simulation.network.cuts.add((instance.address, other.address))
         simulation.network.cuts.add((other.address, instance.address))
     simulation.run(30_000, 500)
-    assert instance.core.claimer.owned() == {}
+    assert instance.core.claimer.owned_claims() == {}
     assert instance.environment.append(b"") == instance.environment.instances()
     assert instance.environment.append(b"").err() == UNREACHABLE
     instance.environment.is_log_unreachable = False
