--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -39,7 +39,7 @@
     from magnoliapitch.decision.interface import Explanation
     from magnoliapitch.decision.interface import Placement
     from magnoliapitch.decision.interface import Scheduler
-    from magnoliapitch.journal.change import ChangedTask
+    from magnoliapitch.journal.job_change import ChangedTask
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
@@ -384,7 +384,7 @@
         if channel.starts and (releasing or not channel.accepts_starts):
             self._tracker.take_back_all(channel, now_ms)
         self._tracker.take_back_unheld(channel, now_ms)
-        call = channel.plan(now_ms, self._journal.last_read_ms)
+        call = channel.plan(now_ms, self._journal.last_caught_up_ms)
         if call is None:
             return
         channel.in_flight = call
--- a/src/magnoliapitch/journal/__init__.py
+++ b/src/magnoliapitch/journal/__init__.py
@@ -1,13 +1,17 @@
-"""The replicated state: a deterministic fold over the platform's log."""
+"""Replicated state machine over the platform's append-only log.
+
+Every entry instance applies the same records in the same order, so that
+instances at the same offset hold the same state.
+"""
 
 from __future__ import annotations
 
 from magnoliapitch.journal.codec import decode_record
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.fold import EntryOutcome
-from magnoliapitch.journal.fold import apply_record
 from magnoliapitch.journal.journal import Journal
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import apply_record
 
 
 __all__ = [
