--- a/src/magnoliapitch/ledger/leadership.py
+++ b/src/magnoliapitch/ledger/leadership.py
@@ -33,6 +33,8 @@
     from magnoliapitch.verdict import Failure
 
 
+# All leaders append as the same producer, so that the store refuses a former
+# leader once it has seen a higher epoch.
 PRODUCER = "leader"
 # A claim's epoch is the next multiple of this step plus a random number below
 # it, so that claims made at the same time get different epochs.
@@ -91,7 +93,7 @@
         self,
         streams: KeyedStreams,
         instance_id: str,
-        states: StateTable,
+        state_table: StateTable,
         clock: Clock,
         health: StoreHealth,
         randomness: random.Random,
@@ -102,7 +104,7 @@
         self.has_loaded = False
         self._streams = streams
         self._instance_id = instance_id
-        self._state_table = states
+        self._state_table = state_table
         self._clock = clock
         self._health = health
         self._random = randomness
