--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -221,7 +221,7 @@
         return Ok(versioned.entry)
 
     def _unknown_entry(self, name: str) -> Failure:
-        if self._journal.last_read_ms is None:
+        if self._journal.last_caught_up_ms is None:
             return not_run(
                 FailureCode.UNAVAILABLE,
                 "this instance has not read the catalogue yet",
