--- a/tests/spec/test_fold.py
+++ b/tests/spec/test_state_machine.py
@@ -4,9 +4,9 @@
 
 from minicheck import check_safety
 
-from magnoliapitch.spec.fold import Bounds
-from magnoliapitch.spec.fold import Guards
-from magnoliapitch.spec.fold import fold_protocol
+from magnoliapitch.spec.state_machine import Bounds
+from magnoliapitch.spec.state_machine import Guards
+from magnoliapitch.spec.state_machine import fold_protocol
 
 
 EQUAL_STATES = "equal offsets, equal states"
