--- a/src/magnoliapitch/capacity/plan.py
+++ b/src/magnoliapitch/capacity/plan.py
@@ -33,8 +33,8 @@
     :param snapshot_interval_s: interval between snapshots, in seconds.
     :param log_streams: number of streams over which the log's task records
         are spread; an entry follows one of them.
-    :param tasks_per_end_entry: ended tasks of a job that one log entry
-        records.
+    :param tasks_per_end_entry: ended tasks of a job that one record
+        entry reports.
     :param uses_incremental_views: whether a worker's reply lists only the
         tasks that changed.
     :param starts_per_call: tasks that one call to a worker starts.
--- a/src/magnoliapitch/capacity/roles.py
+++ b/src/magnoliapitch/capacity/roles.py
@@ -240,9 +240,9 @@
 
 
 def task_end_entries_per_second(sizing: Sizing) -> float:
-    """Return the rate of log entries that record ended tasks at the peak.
+    """Return the rate of record entries that report ended tasks.
 
-    Tasks end as often as they start.
+    Tasks are taken to end as often as they start at the peak.
     """
     return sizing.target.starts_per_second / sizing.plan.tasks_per_end_entry
 
--- a/src/magnoliapitch/console/bench_journal.py
+++ b/src/magnoliapitch/console/bench_journal.py
@@ -16,10 +16,11 @@
 
 @bench.command(name="journal")
 def bench_journal() -> None:
-    """Measure the journal: fold, snapshots, appends and progress reports.
+    """Measure the journal: log records, snapshots, appends and progress.
 
-    The fold applies the records of the log in order. Progress reports tell
-    instances how far the others have applied the log.
+    The rows named fold give the speed at which log records are applied to
+    the state. Progress reports tell instances how far the others have
+    applied the log.
     """
     configure_logging("bench", "local", EventLevel.ERROR)
     for entries_per_record in (1, 100):
--- a/src/magnoliapitch/spec/state_machine.py
+++ b/src/magnoliapitch/spec/state_machine.py
@@ -1,8 +1,8 @@
 """Model of instances that build their state from the log.
 
-The fold is the function that applies the records of the log in order; its
-result is an instance's state. The model covers the fold, snapshots, removal
-of old records, outages of the log and restarts:
+An instance's state machine applies the records of the log in order; the
+result is its replicated state. The model covers the state machine, snapshots,
+removal of old records, outages of the log and restarts:
 
 - A writer appends numbered batches. The answer to an append may be lost.
 - Operators append changes at the same time.
@@ -36,12 +36,12 @@
     Tests switch off one each and expect the model checker to find a
     violation.
 
-    :param skips_duplicates: the fold ignores a batch whose sequence number is
-        not higher than the last.
+    :param skips_duplicates: the state machine ignores a batch whose sequence
+        number is not higher than the last.
     :param sends_one_batch_at_a_time: the writer forms a batch only after the
         previous one was confirmed.
-    :param checks_version: the fold accepts a change only if it names the
-        version in force as the one that it replaces.
+    :param checks_version: the state machine accepts a change only if it names
+        the version in force as the one that it replaces.
     :param checks_snapshot_coverage: a snapshot is loaded only if every record
         after it is still in the log.
     :param waits_for_peer_offset: an instance that restarted while the log is
@@ -88,13 +88,13 @@
     writer: str
     seq: int
     expected_version: int
-    snapshot: FoldedState | None = None
+    snapshot: ReplicatedState | None = None
 
 
-class FoldedState(NamedTuple):
-    """Result of the fold of a prefix of the log.
+class ReplicatedState(NamedTuple):
+    """Result of applying the first records of the log.
 
-    :param offset: number of records in the prefix.
+    :param offset: number of records that were applied.
     :param seq: sequence number of the writer's last batch.
     :param replaced_versions: versions that accepted changes replaced, in
         order.
@@ -123,7 +123,7 @@
         its peer has reported.
     """
 
-    state: FoldedState = FoldedState()
+    state: ReplicatedState = ReplicatedState()
     is_serving: bool = False
     highest_known_offset: int = 0
 
@@ -154,7 +154,7 @@
     log_outage_count: int = 0
 
 
-def fold_protocol(guards: Guards, bounds: Bounds) -> Any:
+def state_machine_protocol(guards: Guards, bounds: Bounds) -> Any:
     """Return the model in the form that ``minicheck.check_safety`` takes.
 
     :param guards: checks of the protocol that are switched on.
@@ -288,8 +288,8 @@
             yield "serve", _with_instance(world, index, serving)
 
     def _loadable_states(
-        self, world: World, state: FoldedState
-    ) -> Iterator[FoldedState]:
+        self, world: World, state: ReplicatedState
+    ) -> Iterator[ReplicatedState]:
         """Yield the states that an instance may load from snapshots."""
         for record in world.log[world.oldest_offset :]:
             if record.snapshot is None:
@@ -341,9 +341,9 @@
 
 
 def apply_record(
-    guards: Guards, state: FoldedState, record: Record
-) -> FoldedState:
-    """Return the state of the fold after one more record."""
+    guards: Guards, state: ReplicatedState, record: Record
+) -> ReplicatedState:
+    """Return the state after one more record was applied."""
     state = state._replace(offset=state.offset + 1)
     if record.snapshot is not None:
         return state
@@ -361,10 +361,12 @@
 
 
 @lru_cache(maxsize=100_000)
-def _fold_log(guards: Guards, log: tuple[Record, ...]) -> FoldedState:
+def _state_after_log(
+    guards: Guards, log: tuple[Record, ...]
+) -> ReplicatedState:
     if not log:
-        return FoldedState()
-    return apply_record(guards, _fold_log(guards, log[:-1]), log[-1])
+        return ReplicatedState()
+    return apply_record(guards, _state_after_log(guards, log[:-1]), log[-1])
 
 
 def _with_instance(world: World, index: int, instance: Instance) -> World:
@@ -401,13 +403,14 @@
 
 def _states_match_log(guards: Guards, world: dict[str, Any]) -> bool:
     return all(
-        item.state == _fold_log(guards, world["log"][: item.state.offset])
+        item.state
+        == _state_after_log(guards, world["log"][: item.state.offset])
         for item in world["instances"]
     )
 
 
 def _counts_each_batch_once(guards: Guards, world: dict[str, Any]) -> bool:
-    counted_seqs = _fold_log(guards, world["log"]).counted_seqs
+    counted_seqs = _state_after_log(guards, world["log"]).counted_seqs
     appended = {
         item.seq
         for item in world["log"]
@@ -417,7 +420,9 @@
 
 
 def _replaces_each_version_once(guards: Guards, world: dict[str, Any]) -> bool:
-    replaced_versions = _fold_log(guards, world["log"]).replaced_versions
+    replaced_versions = _state_after_log(
+        guards, world["log"]
+    ).replaced_versions
     return len(set(replaced_versions)) == len(replaced_versions)
 
 
--- a/src/magnoliapitch/spec/ticket.py
+++ b/src/magnoliapitch/spec/ticket.py
@@ -28,17 +28,17 @@
     """A variant of the protocol that leaves out one guard.
 
     NO_HOLDER_CHECK: an instance runs the request without being the holder.
-    USED_FORGOTTEN: an instance forgets that it has dispatched the request.
-    DISPATCH_BEFORE_FOLD: an instance dispatches before it has read an intent
-    from the log. DISPATCH_ON_FOLD: an instance dispatches when it reads its
-    intent, though it has already answered ``not_run``.
+    DISPATCH_FORGOTTEN: an instance forgets that it has dispatched the request.
+    DISPATCH_BEFORE_APPLYING: an instance dispatches before it has applied an
+    intent from the log. DISPATCH_ON_APPLYING: an instance dispatches when it
+    applies its intent, though it has already answered ``not_run``.
     RUN_WHEN_HOLDER_GONE: an instance runs the request if the holder is dead.
     """
 
     NO_HOLDER_CHECK = "no-holder-check"
-    USED_FORGOTTEN = "used-forgotten"
-    DISPATCH_BEFORE_FOLD = "dispatch-before-fold"
-    DISPATCH_ON_FOLD = "dispatch-on-fold"
+    DISPATCH_FORGOTTEN = "used-forgotten"
+    DISPATCH_BEFORE_APPLYING = "dispatch-before-fold"
+    DISPATCH_ON_APPLYING = "dispatch-on-fold"
     RUN_WHEN_HOLDER_GONE = "run-when-holder-gone"
 
 
@@ -60,7 +60,8 @@
 
     An instance that died does not come back.
 
-    :param folded_count: number of intents that it has read from the log.
+    :param applied_count: number of intents that it has read from the log and
+        applied.
     :param has_pending_append: whether its append may still take effect.
     :param has_dispatched: whether it has dispatched the request.
     :param answered_not_run: whether it answered an attempt with ``not_run``.
@@ -68,7 +69,7 @@
 
     is_alive: bool = True
     phase: Phase = Phase.IDLE
-    folded_count: int = 0
+    applied_count: int = 0
     has_pending_append: bool = False
     has_dispatched: bool = False
     answered_not_run: bool = False
@@ -107,7 +108,7 @@
     """
     from minicheck import Protocol
 
-    instance = Instance(folded_count=0 if is_key else 1)
+    instance = Instance(applied_count=0 if is_key else 1)
     initial = State((instance, instance), () if is_key else (0,))
     return Protocol(
         name="key" if is_key else "ticket",
@@ -136,8 +137,8 @@
 ) -> Iterator[tuple[str, State]]:
     instance = state.instances[index]
     yield f"die {index}", state.with_instance(index, is_alive=False)
-    if instance.folded_count < len(state.log):
-        yield f"fold {index}", _fold_next_intent(state, index, mutant)
+    if instance.applied_count < len(state.log):
+        yield f"fold {index}", _apply_next_intent(state, index, mutant)
     if instance.phase is Phase.IDLE and state.attempts:
         started = state._replace(attempts=state.attempts - 1)
         yield f"attempt {index}", _start_attempt(started, index, mutant)
@@ -147,9 +148,9 @@
             f"give up {index}",
             idle.with_instance(index, answered_not_run=True),
         )
-        if instance.folded_count:
+        if instance.applied_count:
             yield f"proceed {index}", _route_to_holder(idle, index, mutant)
-        if mutant is Mutant.DISPATCH_BEFORE_FOLD:
+        if mutant is Mutant.DISPATCH_BEFORE_APPLYING:
             yield (
                 f"hurry {index}",
                 state.with_instance(index, phase=Phase.READY),
@@ -164,7 +165,7 @@
 
 
 def _start_attempt(state: State, index: int, mutant: Mutant | None) -> State:
-    if state.instances[index].folded_count:
+    if state.instances[index].applied_count:
         return _route_to_holder(state, index, mutant)
     return state.with_instance(
         index, phase=Phase.WAITING, has_pending_append=True
@@ -185,27 +186,29 @@
     return state.with_instance(holder, phase=Phase.READY)
 
 
-def _fold_next_intent(
+def _apply_next_intent(
     state: State, index: int, mutant: Mutant | None
 ) -> State:
     instance = state.instances[index]
-    folded = state.with_instance(index, folded_count=instance.folded_count + 1)
+    applied = state.with_instance(
+        index, applied_count=instance.applied_count + 1
+    )
     was_given_up = instance.answered_not_run and instance.phase is Phase.IDLE
     if (
-        mutant is Mutant.DISPATCH_ON_FOLD
+        mutant is Mutant.DISPATCH_ON_APPLYING
         and was_given_up
         and state.log[0] == index
         and not instance.has_dispatched
     ):
-        return _dispatch(folded, index, mutant)._replace(is_wrong=True)
-    return folded
+        return _dispatch(applied, index, mutant)._replace(is_wrong=True)
+    return applied
 
 
 def _dispatch(state: State, index: int, mutant: Mutant | None) -> State:
     """Run the request unless the instance has dispatched it before."""
     if state.instances[index].has_dispatched:
         return state.with_instance(index, phase=Phase.IDLE)
-    has_dispatched = mutant is not Mutant.USED_FORGOTTEN
+    has_dispatched = mutant is not Mutant.DISPATCH_FORGOTTEN
     running = state.with_instance(
         index, phase=Phase.RUNNING, has_dispatched=has_dispatched
     )
--- a/tests/spec/test_state_machine.py
+++ b/tests/spec/test_state_machine.py
@@ -6,7 +6,7 @@
 
 from magnoliapitch.spec.state_machine import Bounds
 from magnoliapitch.spec.state_machine import Guards
-from magnoliapitch.spec.state_machine import fold_protocol
+from magnoliapitch.spec.state_machine import state_machine_protocol
 
 
 EQUAL_STATES = "equal offsets, equal states"
@@ -53,7 +53,7 @@
     ],
 )
 def test_invariants_hold_in_every_state(bounds: Bounds) -> None:
-    outcome = check_safety(fold_protocol(Guards(), bounds))
+    outcome = check_safety(state_machine_protocol(Guards(), bounds))
     assert outcome["exhaustive"]
     assert outcome["reachable_states"] > 1_000
     assert all(item["holds"] for item in outcome["properties"].values())
@@ -73,7 +73,7 @@
 def test_missing_guard_violates_one_invariant(
     guard: str, bounds: Bounds, violated: str
 ) -> None:
-    protocol = fold_protocol(Guards(**{guard: False}), bounds)
+    protocol = state_machine_protocol(Guards(**{guard: False}), bounds)
     outcome = check_safety(protocol, max_states=MAX_STATES_WITHOUT_GUARD)
     failed = {
         name
