--- a/src/magnoliapitch/bench/decisions/__init__.py
+++ b/src/magnoliapitch/bench/decisions/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from magnoliapitch.bench.decisions.deployment import FLEETS
 from magnoliapitch.bench.decisions.exceptions import BrokenPolicyError
-from magnoliapitch.bench.decisions.fleet import FLEETS
 from magnoliapitch.bench.decisions.offline import offline_bound
 from magnoliapitch.bench.decisions.result import RunResult
 from magnoliapitch.bench.decisions.result import measure
--- a/src/magnoliapitch/bench/decisions/recorder.py
+++ b/src/magnoliapitch/bench/decisions/recorder.py
@@ -13,7 +13,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.bench.decisions.attempt import TaskRun
+    from magnoliapitch.bench.decisions.replayed_job import TaskRun
     from magnoliapitch.resource import Resources
 
 
--- a/src/magnoliapitch/bench/decisions/replay.py
+++ b/src/magnoliapitch/bench/decisions/replay.py
@@ -7,15 +7,15 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from magnoliapitch.bench.decisions.attempt import JobRun
-from magnoliapitch.bench.decisions.attempt import TaskRun
 from magnoliapitch.bench.decisions.audit import DecisionAudit
-from magnoliapitch.bench.decisions.pool import FakeTask
-from magnoliapitch.bench.decisions.pool import FakeWorker
-from magnoliapitch.bench.decisions.pool import PlannedEnd
-from magnoliapitch.bench.decisions.pool import RunSpec
 from magnoliapitch.bench.decisions.recorder import CpuMeter
 from magnoliapitch.bench.decisions.recorder import Recorder
+from magnoliapitch.bench.decisions.replayed_job import JobRun
+from magnoliapitch.bench.decisions.replayed_job import TaskRun
+from magnoliapitch.bench.decisions.simulated_worker import FakeTask
+from magnoliapitch.bench.decisions.simulated_worker import FakeWorker
+from magnoliapitch.bench.decisions.simulated_worker import PlannedEnd
+from magnoliapitch.bench.decisions.simulated_worker import RunSpec
 from magnoliapitch.bench.decisions.timeline import Timeline
 from magnoliapitch.catalogue.entry import WorkClass
 from magnoliapitch.decision.interface import Eviction
--- a/src/magnoliapitch/bench/decisions/trace.py
+++ b/src/magnoliapitch/bench/decisions/trace.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 from typing import NamedTuple
 
-from magnoliapitch.bench.decisions.fleet import BenchFleet
+from magnoliapitch.bench.decisions.deployment import BenchFleet
 from magnoliapitch.catalogue.entry import CatalogueEntry
 from magnoliapitch.catalogue.entry import WorkClass
 from magnoliapitch.resource import Resources
--- a/src/magnoliapitch/bench/decisions/workload.py
+++ b/src/magnoliapitch/bench/decisions/workload.py
@@ -26,7 +26,7 @@
 
 
 if TYPE_CHECKING:
-    from magnoliapitch.bench.decisions.fleet import BenchFleet
+    from magnoliapitch.bench.decisions.deployment import BenchFleet
 
 
 PEAK_MS = 3_600_000
--- a/tests/decision/test_starvation.py
+++ b/tests/decision/test_starvation.py
@@ -12,7 +12,7 @@
 
 from magnoliapitch.bench.decisions import measure
 from magnoliapitch.bench.decisions import offline_bound
-from magnoliapitch.bench.decisions.fleet import BenchFleet
+from magnoliapitch.bench.decisions.deployment import BenchFleet
 from magnoliapitch.bench.decisions.offline import OfflineBound
 from magnoliapitch.bench.decisions.trace import Trace
 from magnoliapitch.bench.decisions.trace import TracedJob
