--- a/src/magnoliapitch/bench/journal/__init__.py
+++ b/src/magnoliapitch/bench/journal/__init__.py
@@ -8,10 +8,10 @@
 
 from magnoliapitch.bench.journal.append import AppendFigures
 from magnoliapitch.bench.journal.append import measure_appends
-from magnoliapitch.bench.journal.fold import FoldFigures
-from magnoliapitch.bench.journal.fold import SnapshotFigures
-from magnoliapitch.bench.journal.fold import measure_fold
-from magnoliapitch.bench.journal.fold import measure_snapshot
+from magnoliapitch.bench.journal.apply import FoldFigures
+from magnoliapitch.bench.journal.apply import SnapshotFigures
+from magnoliapitch.bench.journal.apply import measure_fold
+from magnoliapitch.bench.journal.apply import measure_snapshot
 from magnoliapitch.bench.journal.heartbeat import HeartbeatFigures
 from magnoliapitch.bench.journal.heartbeat import measure_heartbeats
 from magnoliapitch.bench.journal.progress import ProgressFigures
