--- a/src/magnoliapitch/bench/capacity/__init__.py
+++ b/src/magnoliapitch/bench/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Measures what one more worker, task, record or peer costs."""
+"""Measures the cost of one more worker, task, record or peer."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/bench/capacity/registry.py
+++ b/src/magnoliapitch/bench/capacity/registry.py
@@ -1,4 +1,4 @@
-"""Registry of measured slopes."""
+"""Registry of the benchmarks that measure slopes."""
 
 from __future__ import annotations
 
@@ -13,39 +13,52 @@
 from magnoliapitch.bench.slope import Slope
 
 
-Build = Callable[[int], object]
-Prepare = Callable[[int], Callable[[], object]]
-Measure = Callable[[int], float]
+BuildItems = Callable[[int], object]
+PrepareCall = Callable[[int], Callable[[], object]]
+MeasureCost = Callable[[int], float]
 
 PROCESSOR_UNIT = "processor us"
-RUNS = 5
+REPETITIONS = 5
 MICROSECONDS_PER_SECOND = 1e6
 
 
-class _Bench(NamedTuple):
+class _SlopeBenchmark(NamedTuple):
+    """Measurement of a cost at several sizes.
+
+    :param unit: unit of the cost.
+    :param sizes: numbers of items to measure.
+    :param measure: returns the cost of a number of items.
+    """
+
     unit: str
     sizes: tuple[int, ...]
-    measure: Measure
+    measure: MeasureCost
 
 
-_benches_by_name: dict[str, _Bench] = {}
+_benchmarks_by_name: dict[str, _SlopeBenchmark] = {}
 
 
 def memory_slope(
     name: str, sizes: tuple[int, ...]
-) -> Callable[[Build], Build]:
-    """Register a function that builds ``size`` things to weigh in bytes."""
+) -> Callable[[BuildItems], BuildItems]:
+    """Register a function that builds ``size`` items, to measure memory.
+
+    The cost is the memory that the returned object takes, in bytes.
+
+    :param name: name of the slope.
+    :param sizes: numbers of items to measure.
+    """
 
-    def register(build: Build) -> Build:
+    def register(build: BuildItems) -> BuildItems:
         def measure(size: int) -> float:
             gc.collect()
             tracemalloc.start()
-            held = build(size)
+            items = build(size)
             gc.collect()
-            used, _ = tracemalloc.get_traced_memory()
+            used_bytes, _ = tracemalloc.get_traced_memory()
             tracemalloc.stop()
-            del held
-            return float(used)
+            del items
+            return float(used_bytes)
 
         direct_slope(name, "bytes", sizes)(measure)
         return build
@@ -55,16 +68,21 @@
 
 def processor_slope(
     name: str, sizes: tuple[int, ...]
-) -> Callable[[Prepare], Prepare]:
-    """Register a function that prepares work on ``size`` things.
+) -> Callable[[PrepareCall], PrepareCall]:
+    """Register a function that prepares a call on ``size`` items.
 
-    The prepared call is timed in processor microseconds of its thread;
-    the smallest of several runs counts.
+    The cost is the processor time that the call takes in its thread, in
+    microseconds; the smallest of several repetitions counts.
+
+    :param name: name of the slope.
+    :param sizes: numbers of items to measure.
     """
 
-    def register(prepare: Prepare) -> Prepare:
+    def register(prepare: PrepareCall) -> PrepareCall:
         def measure(size: int) -> float:
-            return min(_processor_us(prepare(size)) for _ in range(RUNS))
+            return min(
+                _processor_us(prepare(size)) for _ in range(REPETITIONS)
+            )
 
         direct_slope(name, PROCESSOR_UNIT, sizes)(measure)
         return prepare
@@ -74,11 +92,16 @@
 
 def direct_slope(
     name: str, unit: str, sizes: tuple[int, ...]
-) -> Callable[[Measure], Measure]:
-    """Register a function that returns the cost of ``size`` things."""
+) -> Callable[[MeasureCost], MeasureCost]:
+    """Register a function that returns the cost of ``size`` items.
+
+    :param name: name of the slope.
+    :param unit: unit of the cost.
+    :param sizes: numbers of items to measure.
+    """
 
-    def register(measure: Measure) -> Measure:
-        _benches_by_name[name] = _Bench(unit, sizes, measure)
+    def register(measure: MeasureCost) -> MeasureCost:
+        _benchmarks_by_name[name] = _SlopeBenchmark(unit, sizes, measure)
         return measure
 
     return register
@@ -86,20 +109,27 @@
 
 def size_slope(
     name: str, sizes: tuple[int, ...]
-) -> Callable[[Measure], Measure]:
-    """Register a function that returns the bytes of ``size`` things."""
+) -> Callable[[MeasureCost], MeasureCost]:
+    """Register a function that returns the bytes of ``size`` items.
+
+    :param name: name of the slope.
+    :param sizes: numbers of items to measure.
+    """
     return direct_slope(name, "bytes on the wire", sizes)
 
 
 def measure_slopes() -> tuple[Slope, ...]:
-    """Run every registered measurement in the order of its name."""
+    """Run all registered benchmarks in the order of their names."""
     return tuple(
         Slope.from_points(
             name,
-            bench.unit,
-            tuple(Point(size, bench.measure(size)) for size in bench.sizes),
+            benchmark.unit,
+            tuple(
+                Point(size, benchmark.measure(size))
+                for size in benchmark.sizes
+            ),
         )
-        for name, bench in sorted(_benches_by_name.items())
+        for name, benchmark in sorted(_benchmarks_by_name.items())
     )
 
 
--- a/src/magnoliapitch/bench/capacity/relay.py
+++ b/src/magnoliapitch/bench/capacity/relay.py
@@ -1,4 +1,4 @@
-"""Counts the bytes that cross a TCP connection."""
+"""TCP relay that counts the bytes of the connections through it."""
 
 from __future__ import annotations
 
@@ -10,9 +10,12 @@
 
 
 class CountingRelay:
-    """Passes connections on to a loopback port and counts their bytes.
+    """Forwards connections to a loopback port and counts their bytes.
 
-    :ivar total_bytes: bytes passed in both directions.
+    :param target_port: loopback port to which connections are forwarded.
+    :param port: loopback port to listen on; 0 for any free one.
+    :ivar total_bytes: bytes forwarded in both directions.
+    :ivar port: port that the relay listens on.
     """
 
     def __init__(self, target_port: int, port: int = 0) -> None:
@@ -23,14 +26,14 @@
         self.port = int(self._server.getsockname()[1])
 
     def start(self) -> None:
-        """Accept connections in a thread of its own."""
-        threading.Thread(target=self._accept, daemon=True).start()
+        """Accept connections in a background thread."""
+        threading.Thread(target=self._accept_connections, daemon=True).start()
 
     def stop(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections; open ones stay open."""
         self._server.close()
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while True:
             try:
                 client, _ = self._server.accept()
@@ -39,10 +42,10 @@
             target = socket.create_connection(self._target)
             for source, sink in ((client, target), (target, client)):
                 threading.Thread(
-                    target=self._pass_on, args=(source, sink), daemon=True
+                    target=self._forward, args=(source, sink), daemon=True
                 ).start()
 
-    def _pass_on(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 with self._lock:
--- a/src/magnoliapitch/bench/capacity/sample.py
+++ b/src/magnoliapitch/bench/capacity/sample.py
@@ -1,4 +1,4 @@
-"""Representative values for measurements."""
+"""Representative messages, records and workers for the benchmarks."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 def job_id(number: int) -> str:
-    """Return an id without a pattern that compression could use."""
+    """Return a job id that compresses as badly as a random one."""
     return xxhash.xxh3_64_hexdigest(f"job {number}".encode())
 
 
 def catalogue_put(number: int) -> CataloguePut:
-    """Return the creation of a catalogue entry."""
+    """Return a journal entry that creates a catalogue entry."""
     entry = CatalogueEntry(
         f"entry-{number}", f"team-{number % 140}", WorkClass.BATCH
     )
@@ -46,7 +46,7 @@
 
 
 def entry_join(number: int) -> EntryJoin:
-    """Return the join of an entry instance."""
+    """Return a journal entry with which an entry instance joins."""
     return EntryJoin(
         f"entry-{number}",
         f"{number:032x}",
@@ -56,7 +56,10 @@
 
 
 def job_submit(number: int, tasks: int = 1) -> JobSubmit:
-    """Return the submission of a job."""
+    """Return a journal entry that submits a job.
+
+    :param tasks: number of tasks of the job.
+    """
     digest = xxhash.xxh3_64_intdigest(str(number).encode())
     size = Resources(500 * (1 + digest % 32), 512 * (1 + digest % 64))
     job = JobSpec(job_id(number), ENTRY_NAME, tasks, size, digest % 10**7)
@@ -64,7 +67,7 @@
 
 
 def task_end(number: int) -> TaskEnd:
-    """Return the end of the only task of a job."""
+    """Return a journal entry that ends the only task of a job."""
     return TaskEnd(job_id(number), 0, 0, TaskOutcome.FINISHED)
 
 
@@ -88,7 +91,7 @@
 
 
 def task_request(number: int) -> TaskRequest:
-    """Return a waiting task."""
+    """Return a task as it is submitted to a scheduler."""
     return TaskRequest(
         f"{job_id(number)}/0/0",
         job_id(number),
@@ -102,7 +105,10 @@
 
 
 def worker_view(leases: int) -> WorkerView:
-    """Return a worker's view with running tasks and a claim."""
+    """Return a worker's view with the leases of running tasks.
+
+    :param leases: number of running tasks.
+    """
     running = tuple(
         LeaseView(
             f"{job_id(number)}/0/0",
@@ -120,17 +126,17 @@
 
 
 def log_records(
-    entries: list[RecordEntry], batch: int
+    entries: list[RecordEntry], entries_per_record: int
 ) -> tuple[LogRecord, ...]:
-    """Return records that hold the entries in batches.
+    """Encode journal entries as consecutive records of the log.
 
-    :param batch: entries a record.
+    :param entries_per_record: largest number of entries in a record.
     """
-    parts = [
-        tuple(entries[start : start + batch])
-        for start in range(0, len(entries), batch)
+    batches = [
+        tuple(entries[start : start + entries_per_record])
+        for start in range(0, len(entries), entries_per_record)
     ]
     return tuple(
-        LogRecord(offset, encode_record(part, WRITER, offset + 1))
-        for offset, part in enumerate(parts)
+        LogRecord(offset, encode_record(batch, WRITER, offset + 1))
+        for offset, batch in enumerate(batches)
     )
--- a/src/magnoliapitch/bench/capacity/served.py
+++ b/src/magnoliapitch/bench/capacity/served.py
@@ -1,4 +1,4 @@
-"""Stand-ins behind HTTP, with the bytes on the wire counted."""
+"""Stand-ins served over HTTP through a relay that counts the bytes."""
 
 from __future__ import annotations
 
@@ -25,23 +25,30 @@
     from magnoliapitch.membership.instance import InstanceInfo
 
 
-LONG_MS = 10_000_000
-THREADS = 4
+TASK_AND_LEASE_MS = 10_000_000  # longer than any benchmark
+SERVER_THREADS = 4
 
 
-class ServedWorker:
-    """One worker over HTTP that runs some tasks."""
+class RemoteWorker:
+    """HTTP client of one worker on which tasks run.
+
+    :param tasks: number of tasks to start.
+    :raises BenchError: if not all of them start.
+    """
 
     def __init__(self, info: InstanceInfo, tasks: int) -> None:
         self._info = info
         self._pool = HttpWorkerPool()
         view = self._pool.view(info).unwrap()
         grants = tuple(_grant(number, view) for number in range(tasks))
-        started = self._pool.start(info, grants).unwrap()
-        if len(started.leases) != tasks:
-            raise BenchError(f"{len(started.leases)} of {tasks} tasks run")
+        view_after_start = self._pool.start(info, grants).unwrap()
+        if len(view_after_start.leases) != tasks:
+            raise BenchError(
+                f"the worker started {len(view_after_start.leases)} "
+                f"of {tasks} tasks"
+            )
         self._lease_ids = tuple(grant.lease_id for grant in grants)
-        self._expires_at_ms = view.now_ms + LONG_MS
+        self._expires_at_ms = view.now_ms + TASK_AND_LEASE_MS
 
     def renew(self) -> None:
         """Renew every lease and read the worker's view."""
@@ -52,27 +59,30 @@
 
 
 @contextmanager
-def served_worker(tasks: int) -> Iterator[tuple[ServedWorker, CountingRelay]]:
-    """Serve a worker with running tasks for the length of the context."""
+def serve_worker(tasks: int) -> Iterator[tuple[RemoteWorker, CountingRelay]]:
+    """Serve a worker with running tasks while the context lasts.
+
+    :param tasks: number of running tasks.
+    """
     worker = sample.worker_info(1)
     workers = StandinWorkers(
-        (worker,), MonotonicClock(), lambda _grant: LONG_MS
+        (worker,), MonotonicClock(), lambda _grant: TASK_AND_LEASE_MS
     )
     instance_list = StandinInstanceList((worker,))
-    with served_cell(StandinLog(), instance_list, workers) as relay:
+    with serve_standins(StandinLog(), instance_list, workers) as relay:
         url = f"http://127.0.0.1:{relay.port}/workers/{worker.instance_id}"
-        yield ServedWorker(worker._replace(url=url), tasks), relay
+        yield RemoteWorker(worker._replace(url=url), tasks), relay
 
 
 @contextmanager
-def served_cell(
+def serve_standins(
     log: StandinLog,
     instance_list: StandinInstanceList,
     workers: StandinWorkers,
 ) -> Iterator[CountingRelay]:
-    """Serve stand-ins behind a relay for the length of the context."""
+    """Serve stand-ins through a relay while the context lasts."""
     backends = StandinBackends()
-    server = CellServer(log, instance_list, workers, backends, THREADS)
+    server = CellServer(log, instance_list, workers, backends, SERVER_THREADS)
     server.start()
     relay = CountingRelay(int(server.url.rpartition(":")[2]))
     relay.start()
@@ -87,7 +97,7 @@
     return LeaseGrant(
         f"{sample.job_id(number)}/0/0",
         1,
-        view.now_ms + LONG_MS,
+        view.now_ms + TASK_AND_LEASE_MS,
         resources=sample.TASK_SIZE,
         entry=sample.ENTRY_NAME,
         boot_id=view.boot_id,
--- a/src/magnoliapitch/bench/capacity/wire.py
+++ b/src/magnoliapitch/bench/capacity/wire.py
@@ -1,15 +1,15 @@
-"""Bytes that calls take on the wire, headers included."""
+"""Bytes on the wire of calls with their headers, by number of items."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from magnoliapitch.bench.capacity import sample
-from magnoliapitch.bench.capacity.processor import sample_beat
+from magnoliapitch.bench.capacity.processor import sample_heartbeat
 from magnoliapitch.bench.capacity.registry import size_slope
 from magnoliapitch.bench.capacity.relay import CountingRelay
-from magnoliapitch.bench.capacity.served import served_cell
-from magnoliapitch.bench.capacity.served import served_worker
+from magnoliapitch.bench.capacity.served import serve_standins
+from magnoliapitch.bench.capacity.served import serve_worker
 from magnoliapitch.clock import MonotonicClock
 from magnoliapitch.journal.http_log import HttpLog
 from magnoliapitch.membership.http_instance_list import HttpInstanceList
@@ -26,49 +26,52 @@
     from magnoliapitch.peer.message import Beat
 
 
-CALLS = 20
-CALL_SIZES = (5, 10, 20, 40)
-ITEM_SIZES = (1, 4, 8, 16)
-TIMEOUT_MS = 5_000
+MEASURED_CALLS = 20
+HEARTBEAT_COUNTS = (5, 10, 20, 40)
+ITEM_COUNTS = (1, 4, 8, 16)
+HEARTBEAT_TIMEOUT_MS = 5_000
 
 
-@size_slope("bytes on the wire of a renewal, by tasks", ITEM_SIZES)
+@size_slope("bytes on the wire of a renewal, by tasks", ITEM_COUNTS)
 def renewal(size: int) -> float:
-    """Renew the leases of a worker and read its view."""
-    with served_worker(size) as (worker, relay):
+    """Return the bytes of renewing the leases of running tasks.
+
+    The answer, with the worker's view, is included.
+    """
+    with serve_worker(size) as (worker, relay):
         return _bytes_per_call(relay, worker.renew)
 
 
-@size_slope("bytes on the wire of a log read, by entries", ITEM_SIZES)
+@size_slope("bytes on the wire of a log read, by entries", ITEM_COUNTS)
 def log_read(size: int) -> float:
-    """Read one record of task ends."""
+    """Return the bytes of reading one record of task ends."""
     log = StandinLog()
     entries: list[RecordEntry] = [sample.task_end(n) for n in range(size)]
     (record,) = sample.log_records(entries, size)
     log.append(record.data)
     workers = StandinWorkers((), MonotonicClock())
-    with served_cell(log, StandinInstanceList(), workers) as relay:
+    with serve_standins(log, StandinInstanceList(), workers) as relay:
         client = HttpLog(f"http://127.0.0.1:{relay.port}/log")
         return _bytes_per_call(relay, lambda: client.read(0, 1))
 
 
-@size_slope("bytes on the wire of an instance list", ITEM_SIZES)
+@size_slope("bytes on the wire of an instance list", ITEM_COUNTS)
 def instance_list(size: int) -> float:
-    """Read a list of workers."""
+    """Return the bytes of reading a list of workers."""
     listed = StandinInstanceList(
         tuple(sample.worker_info(number) for number in range(size))
     )
     workers = StandinWorkers((), MonotonicClock())
-    with served_cell(StandinLog(), listed, workers) as relay:
+    with serve_standins(StandinLog(), listed, workers) as relay:
         client = HttpInstanceList(f"http://127.0.0.1:{relay.port}")
         return _bytes_per_call(relay, client.instances)
 
 
-@size_slope("bytes on the wire of heartbeats", CALL_SIZES)
+@size_slope("bytes on the wire of heartbeats", HEARTBEAT_COUNTS)
 def heartbeats(size: int) -> float:
-    """Exchange heartbeats on one connection."""
+    """Return the bytes of heartbeats on one connection."""
     server = PeerNode(("127.0.0.1", 0))
-    server.handler = _Echo()  # type: ignore[assignment]
+    server.handler = _EchoHandler()  # type: ignore[assignment]
     client = PeerNode(("127.0.0.1", 0))
     client.handler = server.handler
     server.start()
@@ -78,7 +81,9 @@
     try:
         address = f"127.0.0.1:{relay.port}"
         for _ in range(size):
-            client.heartbeat(address, sample_beat(), TIMEOUT_MS).unwrap()
+            client.heartbeat(
+                address, sample_heartbeat(), HEARTBEAT_TIMEOUT_MS
+            ).unwrap()
         return float(relay.total_bytes)
     finally:
         client.stop()
@@ -86,14 +91,14 @@
         relay.stop()
 
 
-class _Echo:
+class _EchoHandler:
     def heartbeat(self, beat: Beat) -> Beat:
         return beat
 
 
 def _bytes_per_call(relay: CountingRelay, call: Callable[[], object]) -> float:
     call()
-    before = relay.total_bytes
-    for _ in range(CALLS):
+    bytes_before = relay.total_bytes
+    for _ in range(MEASURED_CALLS):
         call()
-    return (relay.total_bytes - before) / CALLS
+    return (relay.total_bytes - bytes_before) / MEASURED_CALLS
--- a/src/magnoliapitch/bench/decisions/__init__.py
+++ b/src/magnoliapitch/bench/decisions/__init__.py
@@ -1,20 +1,23 @@
-"""Bench of the decisions: seeded traces, injected time, no network."""
+"""Benchmark of scheduling policies on seeded traces.
+
+It runs in simulated time and without a network.
+"""
 
 from __future__ import annotations
 
-from magnoliapitch.bench.decisions.deployment import FLEETS
-from magnoliapitch.bench.decisions.exceptions import BrokenPolicyError
+from magnoliapitch.bench.decisions.deployment import DEPLOYMENTS
+from magnoliapitch.bench.decisions.exceptions import InvalidDecisionError
 from magnoliapitch.bench.decisions.offline import offline_bound
 from magnoliapitch.bench.decisions.result import RunResult
-from magnoliapitch.bench.decisions.result import measure
+from magnoliapitch.bench.decisions.result import measure_policy
 from magnoliapitch.bench.decisions.workload import make_traces
 
 
 __all__ = [
-    "FLEETS",
-    "BrokenPolicyError",
+    "DEPLOYMENTS",
+    "InvalidDecisionError",
     "RunResult",
     "make_traces",
-    "measure",
+    "measure_policy",
     "offline_bound",
 ]
--- a/src/magnoliapitch/bench/decisions/audit.py
+++ b/src/magnoliapitch/bench/decisions/audit.py
@@ -1,10 +1,10 @@
-"""Checks every decision of a policy, apart from its own books."""
+"""Checks of scheduling decisions, independent of the scheduler's state."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.bench.decisions.exceptions import BrokenPolicyError
+from magnoliapitch.bench.decisions.exceptions import InvalidDecisionError
 from magnoliapitch.resource import NO_RESOURCES
 from magnoliapitch.resource import Resources
 
@@ -16,7 +16,10 @@
 
 
 class DecisionAudit:
-    """Counts reservations and refuses what breaks a promise.
+    """Tracks reservations and rejects decisions that violate an invariant.
+
+    The invariants: the reservations on a worker stay within its capacity,
+    no attempt is placed twice, and the tasks of a gang are placed together.
 
     :ivar decisions: number of checked decisions.
     """
@@ -29,41 +32,50 @@
         self._placed_tasks: set[str] = set()
 
     def add_worker(self, worker: WorkerShape) -> None:
-        """Count a worker's capacity."""
+        """Add a worker without reservations."""
         self._capacity_by_worker[worker.worker_id] = worker.capacity
         self._reserved_by_worker[worker.worker_id] = NO_RESOURCES
 
     def remove_worker(self, worker_id: str) -> None:
-        """Forget a worker and what was reserved there."""
+        """Remove a worker and the reservations on it."""
         del self._capacity_by_worker[worker_id]
         for placement in list(self._placements_by_task.values()):
             if placement.worker_id == worker_id:
                 self.release(placement.task_id)
         del self._reserved_by_worker[worker_id]
 
-    def place(self, placed: tuple[tuple[TaskRequest, Placement], ...]) -> None:
-        """Check one decision.
+    def check_decision(
+        self, placed: tuple[tuple[TaskRequest, Placement], ...]
+    ) -> None:
+        """Check the placements of one decision and reserve their resources.
 
-        :raises BrokenPolicyError: if a worker would hold more than its
-            capacity, a task is placed twice, or a gang is placed in part.
+        :raises InvalidDecisionError: if a worker's reservations would exceed
+            its capacity, a worker is unknown, an attempt is placed twice, or
+            only some tasks of a gang are placed.
         """
         self.decisions += 1
-        members_by_gang: dict[str, int] = {}
+        placed_count_by_gang: dict[str, int] = {}
         for task, placement in placed:
-            self._place_one(placement)
+            self._check_placement(placement)
             if task.gang_size > 1:
-                members = members_by_gang.get(task.job_id, 0)
-                members_by_gang[task.job_id] = members + 1
+                placed_count = placed_count_by_gang.get(task.job_id, 0)
+                placed_count_by_gang[task.job_id] = placed_count + 1
         for task, _ in placed:
-            members = members_by_gang.get(task.job_id, task.gang_size)
-            if members != task.gang_size:
-                raise BrokenPolicyError(
-                    f"gang {task.job_id} started with {members} "
-                    f"of {task.gang_size} tasks"
+            placed_count = placed_count_by_gang.get(
+                task.job_id, task.gang_size
+            )
+            if placed_count != task.gang_size:
+                raise InvalidDecisionError(
+                    f"gang job {task.job_id} was placed with {placed_count} "
+                    f"of its {task.gang_size} tasks"
                 )
 
     def resize(self, task_id: str, reserved: Resources) -> None:
-        """Count a confirmed new bound of a running task."""
+        """Replace the reservation of a running attempt.
+
+        :raises InvalidDecisionError: if the worker's reservations would
+            exceed its capacity.
+        """
         placement = self._placements_by_task.get(task_id)
         if placement is None:
             return
@@ -71,38 +83,44 @@
         self._reserve(placement._replace(reserved=reserved))
 
     def release(self, task_id: str) -> None:
-        """Free what an ended task held."""
+        """Remove the reservation of an ended attempt."""
         placement = self._placements_by_task.pop(task_id, None)
         if placement is None:
             return
         reserved = self._reserved_by_worker[placement.worker_id]
-        left = reserved.minus(placement.reserved)
-        self._reserved_by_worker[placement.worker_id] = left
+        remaining = reserved.minus(placement.reserved)
+        self._reserved_by_worker[placement.worker_id] = remaining
 
-    def reserved(self) -> Resources:
-        """Return the sum of all reservations."""
+    def total_reserved(self) -> Resources:
+        """Return the sum of all reservations on all workers."""
         total = NO_RESOURCES
         for reserved in self._reserved_by_worker.values():
             total = total.plus(reserved)
         return total
 
-    def _place_one(self, placement: Placement) -> None:
+    def _check_placement(self, placement: Placement) -> None:
         if placement.task_id in self._placed_tasks:
-            raise BrokenPolicyError(f"{placement.task_id} was placed twice")
+            raise InvalidDecisionError(
+                f"task {placement.task_id} was placed twice"
+            )
         if placement.worker_id not in self._capacity_by_worker:
-            raise BrokenPolicyError(f"no worker {placement.worker_id}")
+            raise InvalidDecisionError(
+                f"task {placement.task_id} was placed on worker "
+                f"{placement.worker_id}, which does not exist"
+            )
         self._placed_tasks.add(placement.task_id)
         self._reserve(placement)
 
     def _reserve(self, placement: Placement) -> None:
         worker_id = placement.worker_id
         capacity = self._capacity_by_worker[worker_id]
-        held = self._reserved_by_worker[worker_id]
-        reserved = held.plus(placement.reserved)
+        earlier_reserved = self._reserved_by_worker[worker_id]
+        reserved = earlier_reserved.plus(placement.reserved)
         if not reserved.fits(capacity):
-            raise BrokenPolicyError(
-                f"{placement.task_id} makes {worker_id} hold {reserved} "
-                f"of {capacity}"
+            raise InvalidDecisionError(
+                f"task {placement.task_id} raises the reservations on worker "
+                f"{worker_id} to {reserved}, more than its capacity of "
+                f"{capacity}"
             )
         self._placements_by_task[placement.task_id] = placement
         self._reserved_by_worker[worker_id] = reserved
--- a/src/magnoliapitch/bench/decisions/deployment.py
+++ b/src/magnoliapitch/bench/decisions/deployment.py
@@ -1,4 +1,4 @@
-"""Workers of the benched deployments."""
+"""Workers of the deployments that the benchmark simulates."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 WORKERS_PER_RACK = 8
-ACCELERATED_PER_RACK = 2
+ACCELERATOR_WORKERS_PER_RACK = 2
 
 
-class BenchFleet(NamedTuple):
+class BenchDeployment(NamedTuple):
     """Workers of one deployment.
 
-    :param core_limit: cores of the largest bulk task.
-    :param memory_per_core_mb: memory of a worker per core.
+    :param max_task_cores: largest number of cores of a bulk task.
+    :param memory_per_core_mb: memory of a worker divided by its cores.
     """
 
     name: str
     workers: tuple[WorkerShape, ...]
-    core_limit: int
+    max_task_cores: int
     memory_per_core_mb: int
 
     @property
     def capacity(self) -> Resources:
-        """Sum over all workers."""
+        """Capacity of all workers together."""
         total = NO_RESOURCES
         for worker in self.workers:
             total = total.plus(worker.capacity)
@@ -35,14 +35,18 @@
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """Names of the availability zones."""
+        """Sorted names of the availability zones."""
         return tuple(sorted({worker.zone for worker in self.workers}))
 
     @classmethod
-    def of_zones(
+    def from_zones(
         cls, name: str, zones: tuple[str, ...], cores: int, memory_mb: int
-    ) -> BenchFleet:
-        """Build one rack of equal workers for each zone."""
+    ) -> BenchDeployment:
+        """Return a deployment with one rack of equal workers in each zone.
+
+        :param cores: cores of each worker.
+        :param memory_mb: memory of each worker.
+        """
         workers = tuple(
             WorkerShape(
                 f"{zone}-{number}",
@@ -51,7 +55,7 @@
                 Resources(
                     cores * 1_000,
                     memory_mb,
-                    2 if number < ACCELERATED_PER_RACK else 0,
+                    2 if number < ACCELERATOR_WORKERS_PER_RACK else 0,
                 ),
             )
             for zone in zones
@@ -60,16 +64,16 @@
         return cls(name, workers, cores // 4, memory_mb // cores)
 
 
-QUETZALTENANGO = BenchFleet.of_zones(
+QUETZALTENANGO = BenchDeployment.from_zones(
     "quetzaltenango",
     ("xela-norte", "xela-centro", "totonicapan"),
     32,
     131_072,
 )
-ITAPORANGA = BenchFleet.of_zones(
+ITAPORANGA = BenchDeployment.from_zones(
     "itaporanga",
     ("sala-centro", "sala-oeste", "sala-leste"),
     16,
     32_768,
 )
-FLEETS = (QUETZALTENANGO, ITAPORANGA)
+DEPLOYMENTS = (QUETZALTENANGO, ITAPORANGA)
--- a/src/magnoliapitch/bench/decisions/exceptions.py
+++ b/src/magnoliapitch/bench/decisions/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the decision bench."""
+"""Errors of the scheduling policy benchmark."""
 
 from __future__ import annotations
 
 
-class BrokenPolicyError(Exception):
-    """A decision that no policy may take."""
+class InvalidDecisionError(Exception):
+    """Raised when a scheduling decision violates an invariant."""
--- a/src/magnoliapitch/bench/decisions/offline.py
+++ b/src/magnoliapitch/bench/decisions/offline.py
@@ -1,8 +1,8 @@
-"""What could be reached by knowing the whole trace in advance.
+"""Reference schedules made with knowledge of the whole trace.
 
-The packing uses true sizes and run times, places nothing on a worker that
-will fail or be lost before the task ends, and lets the members of a gang
-start apart, so it is more lenient than any policy can be.
+They use the actual sizes and run times, place nothing on a worker that will
+fail or be lost before the task ends, and let the members of a gang start at
+different times. These rules are more lenient than those for any policy.
 """
 
 from __future__ import annotations
@@ -27,77 +27,91 @@
     from magnoliapitch.bench.decisions.trace import Trace
 
 
-STEP_MS = 1_000
-HORIZON_FACTOR = 4
+SCHEDULING_STEP_MS = 1_000
+HORIZON_ARRIVAL_WINDOWS = 4
 
 
 class OfflineBound(NamedTuple):
-    """Reference values of one trace.
-
-    :param packed_bulk: bulk work of the offline packing within the peak.
-    :param volume_bulk: processors left to bulk work within the peak, or
-        the bulk work that has arrived by its end if that is less.
-    :param feasible: jobs whose deadline an offline schedule meets.
+    """What schedules reach that know the whole trace in advance.
+
+    Work is processor time; its unit is one thousandth of a core for one
+    millisecond. Bulk work is that of batch and gang jobs.
+
+    :param packed_bulk_millicore_ms: bulk work within the peak interval when
+        the largest tasks are placed first.
+    :param volume_bulk_millicore_ms: processor time that the other classes
+        leave to bulk work within the peak interval, or the bulk work that
+        arrives before its end if that is less.
+    :param feasible_job_ids: jobs whose deadline is met when the tasks are
+        placed by deadline.
     """
 
-    packed_bulk: float
-    volume_bulk: float
-    feasible: frozenset[str]
+    packed_bulk_millicore_ms: float
+    volume_bulk_millicore_ms: float
+    feasible_job_ids: frozenset[str]
 
 
-class _Item(NamedTuple):
+class _PackableTask(NamedTuple):
     job: TracedJob
     task: TracedTask
-    key: tuple[float, ...]
+    priority: tuple[float, ...]
 
 
-class _Run(NamedTuple):
-    item: _Item
+class _ScheduledTask(NamedTuple):
+    item: _PackableTask
     from_ms: int
     until_ms: int
 
 
 def offline_bound(trace: Trace) -> OfflineBound:
-    """Pack a trace that is known in advance."""
-    packing = _pack(trace, _largest_first)
-    begin_ms, end_ms = trace.peak_ms()
+    """Return the reference values of a trace."""
+    schedule = _pack(trace, _largest_first)
+    begin_ms, end_ms = trace.peak_interval_ms()
     work_by_class = dict.fromkeys(WorkClass, 0.0)
-    for run in packing:
-        overlap_ms = min(run.until_ms, end_ms) - max(run.from_ms, begin_ms)
-        work = max(0, overlap_ms) * run.item.task.usage.cpu_millis
-        work_by_class[run.item.job.entry.work_class] += work
-    bulk = work_by_class[WorkClass.BATCH] + work_by_class[WorkClass.GANG]
-    others = work_by_class[WorkClass.URGENT] + work_by_class[WorkClass.SERVICE]
-    capacity = trace.fleet.capacity.cpu_millis * (end_ms - begin_ms)
-    arrived = sum(
-        task.usage.cpu_millis * task.run_ms
-        for job in trace.runnable()
+    for scheduled in schedule:
+        overlap_ms = min(scheduled.until_ms, end_ms) - max(
+            scheduled.from_ms, begin_ms
+        )
+        work = max(0, overlap_ms) * scheduled.item.task.actual_usage.cpu_millis
+        work_by_class[scheduled.item.job.entry.work_class] += work
+    bulk_work = work_by_class[WorkClass.BATCH] + work_by_class[WorkClass.GANG]
+    other_work = (
+        work_by_class[WorkClass.URGENT] + work_by_class[WorkClass.SERVICE]
+    )
+    peak_capacity = trace.deployment.capacity.cpu_millis * (end_ms - begin_ms)
+    arrived_bulk_work = sum(
+        task.actual_usage.cpu_millis * task.run_ms
+        for job in trace.runnable_jobs()
         if job.is_bulk and job.arrives_ms < end_ms
         for task in job.tasks
     )
-    return OfflineBound(bulk, min(capacity - others, arrived), _met(trace))
+    return OfflineBound(
+        bulk_work,
+        min(peak_capacity - other_work, arrived_bulk_work),
+        _feasible_job_ids(trace),
+    )
 
 
-def _met(trace: Trace) -> frozenset[str]:
-    ended_by_job: dict[str, int] = {}
+def _feasible_job_ids(trace: Trace) -> frozenset[str]:
+    ended_ms_by_job: dict[str, int] = {}
     tasks_by_job: dict[str, int] = {}
-    for run in _pack(trace, _earliest_deadline):
-        job = run.item.job
-        ended = max(ended_by_job.get(job.job_id, 0), run.until_ms)
-        ended_by_job[job.job_id] = ended
+    for scheduled in _pack(trace, _earliest_deadline):
+        job = scheduled.item.job
+        ended_ms = max(ended_ms_by_job.get(job.job_id, 0), scheduled.until_ms)
+        ended_ms_by_job[job.job_id] = ended_ms
         tasks_by_job[job.job_id] = tasks_by_job.get(job.job_id, 0) + 1
     return frozenset(
         job.job_id
         for job in trace.jobs
         if job.deadline_ms
         and tasks_by_job.get(job.job_id) == len(job.tasks)
-        and ended_by_job[job.job_id] <= job.deadline_ms
+        and ended_ms_by_job[job.job_id] <= job.deadline_ms
     )
 
 
 def _largest_first(job: TracedJob, task: TracedTask) -> tuple[float, ...]:
-    rank = 1.0 if job.is_bulk else 0.0
-    return rank, -task.usage.cpu_millis, -task.run_ms
+    class_rank = 1.0 if job.is_bulk else 0.0
+    return class_rank, -task.actual_usage.cpu_millis, -task.run_ms
 
 
 def _earliest_deadline(job: TracedJob, task: TracedTask) -> tuple[float, ...]:
@@ -108,103 +122,123 @@
     return 1.0, float(job.deadline_ms - task.run_ms)
 
 
-def _items(
+def _packable_tasks(
     trace: Trace,
-    key_of: Callable[[TracedJob, TracedTask], tuple[float, ...]],
-) -> list[_Item]:
-    cancelled = {item.job_id for item in trace.cancellations}
+    priority_of: Callable[[TracedJob, TracedTask], tuple[float, ...]],
+) -> list[_PackableTask]:
+    cancelled_job_ids = {item.job_id for item in trace.cancellations}
     items = [
-        _Item(job, task, key_of(job, task))
-        for job in trace.runnable()
-        if job.job_id not in cancelled
+        _PackableTask(job, task, priority_of(job, task))
+        for job in trace.runnable_jobs()
+        if job.job_id not in cancelled_job_ids
         for task in job.tasks
     ]
-    items.sort(key=lambda item: item.key)
+    items.sort(key=lambda item: item.priority)
     return items
 
 
 class _Packer:
-    """List schedule over tasks that are sorted by priority."""
+    """Simulates list scheduling with the actual sizes and run times.
+
+    At each step it fills the workers, that with the least free processors
+    first, with the waiting tasks of the best priority that fit.
 
-    def __init__(self, trace: Trace, items: list[_Item]) -> None:
-        self.runs: list[_Run] = []
+    :param items: tasks in the order of their priority, the best first.
+    :ivar scheduled_tasks: the schedule so far.
+    """
+
+    def __init__(self, trace: Trace, items: list[_PackableTask]) -> None:
+        self.scheduled_tasks: list[_ScheduledTask] = []
         self._trace = trace
-        self._items = items
-        self._cpu = np.array([item.task.usage.cpu_millis for item in items])
-        self._memory = np.array([item.task.usage.memory_mb for item in items])
+        self._packable_tasks = items
+        self._cpu_millis = np.array(
+            [item.task.actual_usage.cpu_millis for item in items]
+        )
+        self._memory_mb = np.array(
+            [item.task.actual_usage.memory_mb for item in items]
+        )
         self._run_ms = np.array([item.task.run_ms for item in items])
-        self._waiting = np.zeros(len(items), dtype=bool)
-        self._left = len(items)
-        workers = trace.fleet.workers
-        self._free_cpu = [item.capacity.cpu_millis for item in workers]
-        self._free_memory = [item.capacity.memory_mb for item in workers]
-        self._ends: list[tuple[int, int, int]] = []
-
-    def pack(self) -> list[_Run]:
-        """Return the schedule."""
-        releases = sorted(
+        self._is_waiting = np.zeros(len(items), dtype=bool)
+        self._unstarted_count = len(items)
+        workers = trace.deployment.workers
+        self._free_cpu_millis = [item.capacity.cpu_millis for item in workers]
+        self._free_memory_mb = [item.capacity.memory_mb for item in workers]
+        self._pending_ends: list[tuple[int, int, int]] = []
+
+    def pack(self) -> list[_ScheduledTask]:
+        """Run the simulation and return the schedule.
+
+        The simulation stops at a horizon even if tasks have not started.
+        """
+        arrivals = sorted(
             (item.job.arrives_ms, index)
-            for index, item in enumerate(self._items)
+            for index, item in enumerate(self._packable_tasks)
         )
-        next_release = 0
+        next_arrival = 0
         now_ms = 0
-        while self._left and now_ms < self._horizon_ms():
+        while self._unstarted_count and now_ms < self._horizon_ms():
             while (
-                next_release < len(releases)
-                and releases[next_release][0] <= now_ms
+                next_arrival < len(arrivals)
+                and arrivals[next_arrival][0] <= now_ms
             ):
-                self._waiting[releases[next_release][1]] = True
-                next_release += 1
-            while self._ends and self._ends[0][0] <= now_ms:
-                _, worker, index = heapq.heappop(self._ends)
-                self._free(worker, index)
-            self._fill(now_ms)
-            now_ms += STEP_MS
-        return self.runs
+                self._is_waiting[arrivals[next_arrival][1]] = True
+                next_arrival += 1
+            while self._pending_ends and self._pending_ends[0][0] <= now_ms:
+                _, worker, index = heapq.heappop(self._pending_ends)
+                self._release(worker, index)
+            self._start_fitting_tasks(now_ms)
+            now_ms += SCHEDULING_STEP_MS
+        return self.scheduled_tasks
 
     def _horizon_ms(self) -> int:
-        return self._trace.arrivals_ms * HORIZON_FACTOR
+        return self._trace.arrival_window_ms * HORIZON_ARRIVAL_WINDOWS
 
-    def _free(self, worker: int, index: int) -> None:
-        self._free_cpu[worker] += int(self._cpu[index])
-        self._free_memory[worker] += int(self._memory[index])
+    def _release(self, worker: int, index: int) -> None:
+        self._free_cpu_millis[worker] += int(self._cpu_millis[index])
+        self._free_memory_mb[worker] += int(self._memory_mb[index])
 
-    def _fill(self, now_ms: int) -> None:
-        fullest = sorted(
-            range(len(self._free_cpu)), key=self._free_cpu.__getitem__
+    def _start_fitting_tasks(self, now_ms: int) -> None:
+        fullest_first = sorted(
+            range(len(self._free_cpu_millis)),
+            key=self._free_cpu_millis.__getitem__,
         )
-        for worker in fullest:
-            until_ms = self._usable_until(worker, now_ms)
+        for worker in fullest_first:
+            until_ms = self._available_until(worker, now_ms)
             while until_ms > now_ms:
-                index = self._first(worker, until_ms - now_ms)
+                index = self._first_fitting(worker, until_ms - now_ms)
                 if index < 0:
                     break
                 self._start(index, worker, now_ms)
 
-    def _first(self, worker: int, within_ms: int) -> int:
+    def _first_fitting(self, worker: int, within_ms: int) -> int:
         fits: NDArray[np.bool_] = (
-            self._waiting
-            & (self._cpu <= self._free_cpu[worker])
-            & (self._memory <= self._free_memory[worker])
+            self._is_waiting
+            & (self._cpu_millis <= self._free_cpu_millis[worker])
+            & (self._memory_mb <= self._free_memory_mb[worker])
             & (self._run_ms <= within_ms)
         )
         index = int(fits.argmax()) if len(fits) else 0
         return index if len(fits) and fits[index] else -1
 
     def _start(self, index: int, worker: int, now_ms: int) -> None:
-        self._waiting[index] = False
-        self._left -= 1
-        self._free_cpu[worker] -= int(self._cpu[index])
-        self._free_memory[worker] -= int(self._memory[index])
+        self._is_waiting[index] = False
+        self._unstarted_count -= 1
+        self._free_cpu_millis[worker] -= int(self._cpu_millis[index])
+        self._free_memory_mb[worker] -= int(self._memory_mb[index])
         until_ms = now_ms + int(self._run_ms[index])
-        heapq.heappush(self._ends, (until_ms, worker, index))
-        self.runs.append(_Run(self._items[index], now_ms, until_ms))
+        heapq.heappush(self._pending_ends, (until_ms, worker, index))
+        self.scheduled_tasks.append(
+            _ScheduledTask(self._packable_tasks[index], now_ms, until_ms)
+        )
+
+    def _available_until(self, worker: int, now_ms: int) -> int:
+        """Return when the worker next begins to fail or is lost.
 
-    def _usable_until(self, worker: int, now_ms: int) -> int:
-        """Return when the worker is next lost; it is unusable if past."""
+        The worker is unusable if that time is past.
+        """
         trace = self._trace
-        worker_id = trace.fleet.workers[worker].worker_id
-        if worker_id in trace.failing:
+        worker_id = trace.deployment.workers[worker].worker_id
+        if worker_id in trace.failing_worker_ids:
             return trace.failing_from_ms
         for outage in trace.outages:
             if worker_id in outage.worker_ids and now_ms < outage.until_ms:
@@ -214,6 +248,6 @@
 
 def _pack(
     trace: Trace,
-    key_of: Callable[[TracedJob, TracedTask], tuple[float, ...]],
-) -> list[_Run]:
-    return _Packer(trace, _items(trace, key_of)).pack()
+    priority_of: Callable[[TracedJob, TracedTask], tuple[float, ...]],
+) -> list[_ScheduledTask]:
+    return _Packer(trace, _packable_tasks(trace, priority_of)).pack()
--- a/src/magnoliapitch/bench/decisions/report.py
+++ b/src/magnoliapitch/bench/decisions/report.py
@@ -1,4 +1,4 @@
-"""Table, JSON and plot of the results."""
+"""Tables, JSON and plots of the results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from magnoliapitch.bench.decisions.scale import DecisionCost
 
 
-HEADER = (
+RESULT_COLUMNS = (
     "policy",
     "urgent p50/p99/max s",
     "service p99 s",
@@ -32,7 +32,7 @@
     "p50/p99 us",
     "cpu us/start",
 )
-SCALING_HEADER = (
+SCALING_COLUMNS = (
     "workers",
     "queued",
     "starts/s",
@@ -43,17 +43,19 @@
 
 
 def table(results: list[RunResult]) -> str:
-    """Return the results as text, a table for each trace."""
-    parts = []
+    """Return the results as text, one table for each trace."""
+    tables = []
     for fleet, trace in dict.fromkeys((r.fleet, r.trace) for r in results):
-        chosen = [r for r in results if (r.fleet, r.trace) == (fleet, trace)]
-        rows = [HEADER, *(_row(result) for result in chosen)]
-        parts.append("\n".join((f"{fleet}, {trace}", *_aligned(rows))))
-    return "\n\n".join(parts)
+        trace_results = [
+            r for r in results if (r.fleet, r.trace) == (fleet, trace)
+        ]
+        rows = [RESULT_COLUMNS, *(_row(result) for result in trace_results)]
+        tables.append("\n".join((f"{fleet}, {trace}", *_aligned_lines(rows))))
+    return "\n\n".join(tables)
 
 
 def scaling_table(costs: list[DecisionCost]) -> str:
-    """Return the costs by size as text."""
+    """Return the decision costs by size as a text table."""
     rows = [
         (
             str(cost.workers),
@@ -65,7 +67,7 @@
         )
         for cost in costs
     ]
-    return "\n".join(_aligned([SCALING_HEADER, *rows]))
+    return "\n".join(_aligned_lines([SCALING_COLUMNS, *rows]))
 
 
 def to_json(results: list[RunResult]) -> bytes:
@@ -107,7 +109,7 @@
     pyplot.close(figure)
 
 
-def _aligned(rows: list[tuple[str, ...]]) -> list[str]:
+def _aligned_lines(rows: list[tuple[str, ...]]) -> list[str]:
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [
         "  ".join(
@@ -133,25 +135,26 @@
     waits = result.waits_by_class
     urgent, service = waits["urgent"], waits["service"]
     batch, gang = waits["batch"], waits["gang"]
-    met = f"{result.deadlines_met}/{result.deadlines_feasible}"
+    deadlines_met = f"{result.deadlines_met}/{result.deadlines_feasible}"
     return (
         result.policy,
-        f"{_s(urgent.p50_ms)}/{_s(urgent.p99_ms)}/{_s(urgent.max_ms)}",
-        _s(service.p99_ms),
-        f"{_s(batch.p50_ms)}/{_s(batch.p99_ms)}",
-        f"{_s(gang.p50_ms)}/{_s(gang.p99_ms)}",
-        met,
+        f"{_seconds(urgent.p50_ms)}/{_seconds(urgent.p99_ms)}/"
+        f"{_seconds(urgent.max_ms)}",
+        _seconds(service.p99_ms),
+        f"{_seconds(batch.p50_ms)}/{_seconds(batch.p99_ms)}",
+        f"{_seconds(gang.p50_ms)}/{_seconds(gang.p99_ms)}",
+        deadlines_met,
         f"{result.packing:.3f}",
         f"{result.volume_packing:.3f}",
         f"{result.fairness:.2f}",
         f"{result.lost_core_s:.0f}",
         str(sum(result.evictions_by_action.values())),
         str(result.failures),
-        _s(result.ended_ms),
+        _seconds(result.ended_ms),
         f"{result.cost.p50_us:.0f}/{result.cost.p99_us:.0f}",
         f"{result.cost.cpu_us_per_start:.0f}",
     )
 
 
-def _s(duration_ms: int) -> str:
+def _seconds(duration_ms: int) -> str:
     return f"{duration_ms / 1_000:.1f}"
--- a/src/magnoliapitch/bench/decisions/result.py
+++ b/src/magnoliapitch/bench/decisions/result.py
@@ -1,4 +1,4 @@
-"""Result of one policy on one trace."""
+"""Figures of one scheduling policy on one trace."""
 
 from __future__ import annotations
 
@@ -17,20 +17,37 @@
     from magnoliapitch.decision.interface import Scheduler
 
 
-HORIZON_FACTOR = 4
+HORIZON_ARRIVAL_WINDOWS = 4
 
 
 class RunResult(NamedTuple):
-    """Measures of one policy on one trace.
-
-    :param ended_ms: when all work but services had ended.
-    :param deadlines_met: of the feasible ones.
-    :param packing: bulk work within the peak, as a share of the offline
-        packing of the whole trace.
-    :param volume_packing: the same as a share of the volume bound.
-    :param fairness: least work of an owner within the peak, as a share of
-        its weighted max-min fair part.
-    :param lost_core_s: work of failed, stopped and lost attempts.
+    """Figures of one scheduling policy on one trace.
+
+    Work is processor time; bulk work is that of batch and gang jobs.
+
+    :param fleet: name of the deployment.
+    :param trace: name of the trace.
+    :param policy: label of the policy.
+    :param ended_ms: simulated time at which all jobs but services had
+        ended, or at which the replay stopped.
+    :param waits_by_class: waiting times by work class.
+    :param deadlines_met: number of feasible deadlines that were met.
+    :param deadlines_feasible: number of deadlines that an offline schedule
+        meets, without those of jobs that the trace cancels.
+    :param packing: bulk work done within the peak interval, as a share of
+        what an offline packing of the whole trace does in it.
+    :param volume_packing: the same as a share of the upper bound by volume.
+    :param fairness: smallest ratio, over all owners, of the work done for
+        the owner within the peak interval to its weighted max-min fair
+        share.
+    :param refused: number of jobs that the scheduler refused.
+    :param failures: number of failed attempts.
+    :param overruns: how often a worker ran out of memory.
+    :param lost_core_s: work of failed, stopped and lost attempts, in
+        seconds of one core.
+    :param audited_decisions: number of decisions checked for invariants.
+    :param cost: real time that the scheduler spent.
+    :param samples: processors reserved and used over time.
     """
 
     fleet: str
@@ -55,91 +72,104 @@
 
     @property
     def deadline_share(self) -> float:
-        """Share of the feasible deadlines that were met."""
+        """Number of met deadlines divided by that of feasible ones."""
         return self.deadlines_met / max(1, self.deadlines_feasible)
 
 
-def measure(
+def measure_policy(
     trace: Trace, policy: str, scheduler: Scheduler, bound: OfflineBound
 ) -> RunResult:
-    """Replay a trace against a policy.
+    """Replay a trace against a scheduler and compare it with a bound.
 
-    :raises BrokenPolicyError: if a decision breaks a promise.
+    :param policy: label of the scheduler in the result.
+    :param scheduler: a scheduler without workers or tasks.
+    :param bound: offline bound of the same trace.
+    :raises InvalidDecisionError: if a decision violates an invariant.
     """
     replay = Replay(trace, scheduler)
-    replay.run(trace.arrivals_ms * HORIZON_FACTOR)
+    replay.run(trace.arrival_window_ms * HORIZON_ARRIVAL_WINDOWS)
     recorder = replay.recorder
-    cancelled = {item.job_id for item in trace.cancellations}
-    wanted = bound.feasible - cancelled
+    cancelled_job_ids = {item.job_id for item in trace.cancellations}
+    feasible_job_ids = bound.feasible_job_ids - cancelled_job_ids
     return RunResult(
-        trace.fleet.name,
+        trace.deployment.name,
         trace.name,
         policy,
         replay.now_ms,
-        recorder.waits(replay.now_ms),
-        sum(_is_met(replay, job_id) for job_id in wanted),
-        len(wanted),
-        recorder.peak_bulk / max(1.0, bound.packed_bulk),
-        recorder.peak_bulk / max(1.0, bound.volume_bulk),
-        _fairness(trace, recorder.peak_by_owner),
+        recorder.wait_summaries(replay.now_ms),
+        sum(_met_deadline(replay, job_id) for job_id in feasible_job_ids),
+        len(feasible_job_ids),
+        recorder.peak_bulk_millicore_ms
+        / max(1.0, bound.packed_bulk_millicore_ms),
+        recorder.peak_bulk_millicore_ms
+        / max(1.0, bound.volume_bulk_millicore_ms),
+        _fairness(trace, recorder.peak_millicore_ms_by_owner),
         len(replay.refused),
         recorder.failures,
-        recorder.overruns,
+        recorder.memory_overruns,
         recorder.evictions_by_action,
-        recorder.lost_work / 1_000_000,
+        recorder.lost_millicore_ms / 1_000_000,
         recorder.starts,
         replay.audit.decisions,
-        recorder.cost(),
+        recorder.cost_summary(),
         tuple(recorder.samples),
     )
 
 
-def _is_met(replay: Replay, job_id: str) -> bool:
-    run = replay.jobs_by_id.get(job_id)
-    if run is None or run.left or run.given_up:
+def _met_deadline(replay: Replay, job_id: str) -> bool:
+    job = replay.jobs_by_id.get(job_id)
+    if job is None or job.unfinished_tasks or job.is_abandoned:
         return False
-    ended_ms = max(task.finished_ms for task in run.tasks)
-    return ended_ms <= run.job.deadline_ms
+    ended_ms = max(task.finished_ms for task in job.tasks)
+    return ended_ms <= job.traced_job.deadline_ms
 
 
 def _fairness(trace: Trace, work_by_owner: dict[str, float]) -> float:
-    """Return the least share of its fair part that an owner received."""
-    fair_by_owner = _fair_parts(trace, sum(work_by_owner.values()))
+    """Return the smallest ratio of an owner's work to its fair share."""
+    fair_work_by_owner = _fair_work_by_owner(
+        trace, sum(work_by_owner.values())
+    )
     return min(
         work_by_owner.get(owner, 0.0) / max(1.0, fair)
-        for owner, fair in fair_by_owner.items()
+        for owner, fair in fair_work_by_owner.items()
     )
 
 
-def _fair_parts(trace: Trace, total: float) -> dict[str, float]:
-    """Return the weighted max-min fair division of the work done.
+def _fair_work_by_owner(
+    trace: Trace, undivided_work: float
+) -> dict[str, float]:
+    """Divide the work done among the owners by weighted max-min fairness.
+
+    No owner gets more than the work that its jobs could do between their
+    arrival and the end of the peak interval.
 
-    No owner's part exceeds the work that it submitted by the peak's end.
+    :param undivided_work: work done for all owners.
     """
-    end_ms = trace.peak_ms()[1]
-    wanted_by_owner: dict[str, float] = {}
+    end_ms = trace.peak_interval_ms()[1]
+    demand_by_owner: dict[str, float] = {}
     share_by_owner: dict[str, int] = {}
-    for job in trace.runnable():
-        longest_ms = end_ms - job.arrives_ms
-        if longest_ms <= 0:
+    for job in trace.runnable_jobs():
+        time_to_peak_end_ms = end_ms - job.arrives_ms
+        if time_to_peak_end_ms <= 0:
             continue
         owner = job.entry.owner
         work = sum(
-            item.usage.cpu_millis * min(item.run_ms, longest_ms)
+            item.actual_usage.cpu_millis
+            * min(item.run_ms, time_to_peak_end_ms)
             for item in job.tasks
         )
-        wanted_by_owner[owner] = wanted_by_owner.get(owner, 0.0) + work
+        demand_by_owner[owner] = demand_by_owner.get(owner, 0.0) + work
         share = max(share_by_owner.get(owner, 0), job.entry.limits.share)
         share_by_owner[owner] = share
-    fair_by_owner: dict[str, float] = {}
-    by_demand = sorted(
-        wanted_by_owner,
-        key=lambda owner: wanted_by_owner[owner] / share_by_owner[owner],
+    fair_work_by_owner: dict[str, float] = {}
+    owners_by_demand = sorted(
+        demand_by_owner,
+        key=lambda owner: demand_by_owner[owner] / share_by_owner[owner],
     )
-    shares = sum(share_by_owner.values())
-    for owner in by_demand:
-        part = total * share_by_owner[owner] / shares
-        fair_by_owner[owner] = min(wanted_by_owner[owner], part)
-        total -= fair_by_owner[owner]
-        shares -= share_by_owner[owner]
-    return fair_by_owner
+    remaining_shares = sum(share_by_owner.values())
+    for owner in owners_by_demand:
+        fair_work = undivided_work * share_by_owner[owner] / remaining_shares
+        fair_work_by_owner[owner] = min(demand_by_owner[owner], fair_work)
+        undivided_work -= fair_work_by_owner[owner]
+        remaining_shares -= share_by_owner[owner]
+    return fair_work_by_owner
--- a/src/magnoliapitch/bench/decisions/scale.py
+++ b/src/magnoliapitch/bench/decisions/scale.py
@@ -1,4 +1,7 @@
-"""Cost of decisions by number of workers and of queued tasks."""
+"""Cost of decisions by number of workers and of queued tasks.
+
+The scheduler is saturated: it can start a task only when another one ends.
+"""
 
 from __future__ import annotations
 
@@ -29,29 +32,34 @@
 
 WORKER_COUNTS = (24, 240, 2_400, 18_000)
 QUEUE_LENGTHS = (1_000, 10_000, 100_000, 1_000_000)
-BASE_QUEUE = 10_000
-BASE_WORKERS = 24
+BASE_QUEUE_LENGTH = 10_000
+BASE_WORKER_COUNT = 24
 WORKERS_PER_RACK = 8
 RACKS_PER_ZONE = 100
 TASKS_PER_JOB = 10
-OWNERS = 140
-CORES = (4, 6, 8, 12)
-CAPACITY = Resources(32_000, 131_072, 0)
-RUN_MS = 60_000
+OWNER_COUNT = 140
+TASK_CORES = (4, 6, 8, 12)
+WORKER_CAPACITY = Resources(32_000, 131_072, 0)
+DECLARED_RUN_MS = 60_000
 STEP_MS = 10
 ENDS_PER_STEP = 20
-STARTS = 4_000
+MEASURED_STARTS = 4_000
 MAX_DECISION_NS = 60_000_000_000
 
 
 class DecisionCost(NamedTuple):
-    """Cost of a saturated scheduler of a size.
+    """Cost of a saturated scheduler.
 
-    :param starts: measured starts, each after the end of another task.
-    :param starts_per_second: on one core, with ends and submissions.
-    :param decision_p50_us: of one decide call.
-    :param probes_per_start: workers examined, the same on any machine.
-    :param resident_mb: growth of the process's memory.
+    :param workers: number of workers.
+    :param queued: number of waiting tasks.
+    :param starts: number of measured starts.
+    :param starts_per_second: starts divided by the scheduler's processor
+        time, including that for task ends and submissions.
+    :param decision_p50_us: median processor time of a call of ``decide``.
+    :param decision_p99_us: 99th percentile of the same.
+    :param probes_per_start: workers examined for each start; it doesn't
+        depend on the machine.
+    :param resident_mb: growth of the resident memory of the process.
     """
 
     workers: int
@@ -64,8 +72,13 @@
     resident_mb: float
 
 
-class _Load:
-    """Keeps a scheduler saturated with a queue of constant length."""
+class _SaturatedScheduler:
+    """Submits, starts and ends tasks and measures the scheduler's time.
+
+    :ivar starts: number of starts since the last reset.
+    :ivar decision_ns: processor time of each call of ``decide``.
+    :ivar spent_ns: processor time of all calls since the last reset.
+    """
 
     def __init__(self, scheduler: Scheduler, seed: int) -> None:
         self.now_ms = 0
@@ -75,39 +88,42 @@
         self._scheduler = scheduler
         self._random = np.random.default_rng(seed)
         self._running: list[Placement] = []
-        self._jobs = 0
+        self._job_count = 0
 
     def submit(self, tasks: int) -> None:
-        """Queue about that many tasks, in jobs of ten."""
+        """Submit jobs of ten tasks with about that many tasks in total."""
         for _ in range(max(1, tasks // TASKS_PER_JOB)):
-            self._jobs += 1
-            owner = int(self._random.integers(OWNERS))
-            cores = int(self._random.choice(CORES))
+            self._job_count += 1
+            owner = int(self._random.integers(OWNER_COUNT))
+            cores = int(self._random.choice(TASK_CORES))
             size = Resources(cores * 1_000, cores * 3_000)
             requests = tuple(
                 TaskRequest(
-                    f"job-{self._jobs}/{number}/0",
-                    f"job-{self._jobs}",
+                    f"job-{self._job_count}/{number}/0",
+                    f"job-{self._job_count}",
                     f"entry-{owner}",
                     f"owner-{owner}",
                     WorkClass.BATCH,
                     size,
-                    RUN_MS,
+                    DECLARED_RUN_MS,
                     self.now_ms,
                 )
                 for number in range(TASKS_PER_JOB)
             )
-            began_ns = time.process_time_ns()
+            started_ns = time.process_time_ns()
             self._scheduler.submit(requests)
-            self.spent_ns += time.process_time_ns() - began_ns
+            self.spent_ns += time.process_time_ns() - started_ns
 
     def decide(self) -> int:
-        """Decide until nothing more can start; return the starts."""
+        """Decide until no more tasks can start.
+
+        :return: number of starts.
+        """
         started = 0
         while True:
-            began_ns = time.process_time_ns()
+            started_ns = time.process_time_ns()
             decision = self._scheduler.decide(self.now_ms)
-            spent_ns = time.process_time_ns() - began_ns
+            spent_ns = time.process_time_ns() - started_ns
             self.spent_ns += spent_ns
             self.decision_ns.record_value(max(1, spent_ns))
             self._running.extend(decision.placements)
@@ -118,33 +134,33 @@
         return started
 
     def end_some(self) -> None:
-        """End some tasks that run, chosen at random."""
+        """End some randomly chosen running tasks."""
         for _ in range(min(ENDS_PER_STEP, len(self._running))):
             index = int(self._random.integers(len(self._running)))
             self._running[index], self._running[-1] = (
                 self._running[-1],
                 self._running[index],
             )
-            ended = self._running.pop()
-            began_ns = time.process_time_ns()
+            ended_placement = self._running.pop()
+            started_ns = time.process_time_ns()
             self._scheduler.record_task_end(
-                ended.task_id, TaskOutcome.FINISHED, self.now_ms
+                ended_placement.task_id, TaskOutcome.FINISHED, self.now_ms
             )
-            self.spent_ns += time.process_time_ns() - began_ns
+            self.spent_ns += time.process_time_ns() - started_ns
 
     def reset(self) -> None:
-        """Start to measure."""
+        """Set the figures to zero before a measurement."""
         self.starts = 0
         self.spent_ns = 0
         self.decision_ns.reset()
 
 
-def decision_cost(
+def measure_decision_cost(
     workers: int,
     queued: int,
     policy: str = "weighted",
     seed: int = 1,
-    starts: int = STARTS,
+    starts: int = MEASURED_STARTS,
 ) -> DecisionCost:
     """Measure a saturated scheduler with a queue of constant length.
 
@@ -152,46 +168,49 @@
     :param queued: number of waiting tasks.
     :param starts: number of starts to measure.
     """
-    resident_kb = _resident_kb()
+    resident_kb_before = _resident_kb()
     scheduler = make_scheduler(policy)
     scheduler.set_catalogue(_catalogue())
     for number in range(workers):
         scheduler.add_worker(_worker(number))
-    load = _Load(scheduler, seed)
+    load = _SaturatedScheduler(scheduler, seed)
     while load.decide() or scheduler.queued_count() < TASKS_PER_JOB:
         load.submit(workers * 2)
     load.submit(queued)
     load.now_ms += STEP_MS
     load.decide()
     load.reset()
-    probes = _probes(scheduler)
+    probes = _probe_count(scheduler)
     while load.starts < starts:
         load.now_ms += STEP_MS
         load.end_some()
         load.decide()
         if scheduler.queued_count() < queued:
             load.submit(ENDS_PER_STEP)
-    at = load.decision_ns.get_value_at_percentile
+    percentile = load.decision_ns.get_value_at_percentile
     return DecisionCost(
         workers,
         queued,
         load.starts,
         load.starts * 1e9 / load.spent_ns,
-        at(50) / 1_000,
-        at(99) / 1_000,
-        (_probes(scheduler) - probes) / load.starts,
-        (_resident_kb() - resident_kb) / 1_024,
+        percentile(50) / 1_000,
+        percentile(99) / 1_000,
+        (_probe_count(scheduler) - probes) / load.starts,
+        (_resident_kb() - resident_kb_before) / 1_024,
     )
 
 
-def scaling(starts: int = STARTS) -> list[DecisionCost]:
-    """Measure the growth by workers and by queue length."""
+def measure_scaling(starts: int = MEASURED_STARTS) -> list[DecisionCost]:
+    """Measure the cost by number of workers and by queue length.
+
+    :param starts: number of starts to measure for each size.
+    """
     by_workers = [
-        decision_cost(workers, BASE_QUEUE, starts=starts)
+        measure_decision_cost(workers, BASE_QUEUE_LENGTH, starts=starts)
         for workers in WORKER_COUNTS
     ]
     by_queue = [
-        decision_cost(BASE_WORKERS, queued, starts=starts)
+        measure_decision_cost(BASE_WORKER_COUNT, queued, starts=starts)
         for queued in QUEUE_LENGTHS
     ]
     return by_workers + by_queue
@@ -202,7 +221,7 @@
         f"entry-{number}": CatalogueEntry(
             f"entry-{number}", f"owner-{number}", WorkClass.BATCH
         )
-        for number in range(OWNERS)
+        for number in range(OWNER_COUNT)
     }
 
 
@@ -212,11 +231,11 @@
         f"worker-{number}",
         f"rack-{rack}",
         f"zone-{rack // RACKS_PER_ZONE}",
-        CAPACITY,
+        WORKER_CAPACITY,
     )
 
 
-def _probes(scheduler: Scheduler) -> int:
+def _probe_count(scheduler: Scheduler) -> int:
     probes = getattr(scheduler, "probes", None)
     return int(probes()) if probes is not None else 0
 
--- a/src/magnoliapitch/bench/decisions/simulated_worker.py
+++ b/src/magnoliapitch/bench/decisions/simulated_worker.py
@@ -1,8 +1,9 @@
-"""Fake workers: tasks run in injected time and contend for processors.
+"""Simulated workers whose tasks contend for processors in simulated time.
 
-Processors are shared in proportion when tasks want more than a worker has.
-Memory is not shared: an overrun ends the task that is furthest above its
-reservation.
+When the tasks of a worker demand more processors than it has, each gets a
+part in proportion to its demand. Memory is not divided in this way: if the
+tasks use more than the worker has, the replay fails the attempt whose use
+is furthest above its reservation.
 """
 
 from __future__ import annotations
@@ -17,150 +18,204 @@
     from magnoliapitch.decision.interface import WorkerShape
 
 
-class RunSpec(NamedTuple):
-    """What one attempt does when nothing holds it back.
+class AttemptSpec(NamedTuple):
+    """Behaviour of one attempt when it is neither throttled nor contended.
 
-    :param run_ms: run time that is left.
+    :param actual_usage: resources that the attempt uses at full speed.
+    :param run_ms: run time at full speed that remains for the task.
+    :param reserved: resources that the scheduler reserved for it.
     """
 
     task_id: str
-    usage: Resources
+    actual_usage: Resources
     run_ms: float
     reserved: Resources
 
 
-class PlannedEnd(NamedTuple):
-    """When an attempt ends unless its worker's load changes."""
+class PredictedEnd(NamedTuple):
+    """When an attempt will finish unless its processor rate changes.
+
+    :param generation: generation of the attempt at the prediction; the
+        prediction is obsolete when the attempt has another one.
+    """
 
     at_ms: int
     task_id: str
     generation: int
 
 
-class FakeTask:
-    """A running attempt.
+class RunningAttempt:
+    """An attempt that runs on a simulated worker.
 
-    :ivar left_ms: run time left at full speed.
-    :ivar delivered: processor use so far, in milliseconds of a
-        thousandth of a core.
-    :ivar peak_delivered: the part of it within the peak.
+    :ivar remaining_ms: run time left at full speed.
+    :ivar delivered_millicore_ms: processor time received so far; the unit is
+        one thousandth of a core for one millisecond.
+    :ivar peak_delivered_millicore_ms: the part of it that falls within the
+        peak interval.
+    :ivar rate_millicores: processor rate since ``updated_ms``.
+    :ivar cpu_limit_millis: upper bound of the rate; throttling lowers it.
+    :ivar generation: number of changes of the rate; predicted ends of an
+        earlier generation are obsolete.
     """
 
     __slots__ = (
-        "cpu_limit",
-        "delivered",
+        "cpu_limit_millis",
+        "delivered_millicore_ms",
         "generation",
-        "left_ms",
-        "peak_delivered",
-        "rate",
+        "peak_delivered_millicore_ms",
+        "rate_millicores",
+        "remaining_ms",
         "reserved",
         "spec",
         "updated_ms",
     )
 
-    def __init__(self, spec: RunSpec, now_ms: int) -> None:
+    def __init__(self, spec: AttemptSpec, now_ms: int) -> None:
         self.spec = spec
         self.reserved = spec.reserved
-        self.left_ms = spec.run_ms
-        self.delivered = 0.0
-        self.peak_delivered = 0.0
-        self.rate = 0.0
-        self.cpu_limit = spec.usage.cpu_millis
+        self.remaining_ms = spec.run_ms
+        self.delivered_millicore_ms = 0.0
+        self.peak_delivered_millicore_ms = 0.0
+        self.rate_millicores = 0.0
+        self.cpu_limit_millis = spec.actual_usage.cpu_millis
         self.generation = 0
         self.updated_ms = now_ms
 
-    def wanted(self) -> int:
-        """Return the processors it would use, in thousandths."""
-        return min(self.spec.usage.cpu_millis, self.cpu_limit)
+    def cpu_demand_millis(self) -> int:
+        """Return the processors it can use, in thousandths of a core."""
+        return min(self.spec.actual_usage.cpu_millis, self.cpu_limit_millis)
 
-    def usage(self) -> Resources:
-        """Return what it uses now."""
-        return self.spec.usage._replace(cpu_millis=int(self.rate))
+    def current_usage(self) -> Resources:
+        """Return the resources that the attempt uses now."""
+        return self.spec.actual_usage._replace(
+            cpu_millis=int(self.rate_millicores)
+        )
 
 
-class FakeWorker:
-    """One worker.
+class SimulatedWorker:
+    """A worker that runs attempts in simulated time.
 
-    :param peak_ms: interval in which delivered work is counted apart.
+    :param peak_interval_ms: start and end of the peak interval, whose
+        processor time is counted separately.
     """
 
-    def __init__(self, shape: WorkerShape, peak_ms: tuple[int, int]) -> None:
+    def __init__(
+        self, shape: WorkerShape, peak_interval_ms: tuple[int, int]
+    ) -> None:
         self.shape = shape
-        self.tasks_by_id: dict[str, FakeTask] = {}
-        self._peak_ms = peak_ms
+        self.attempts_by_id: dict[str, RunningAttempt] = {}
+        self._peak_interval_ms = peak_interval_ms
         self._is_contended = False
 
-    def start(self, spec: RunSpec, now_ms: int) -> list[PlannedEnd]:
-        """Start an attempt; return the ends that follow from it."""
-        self._settle(now_ms)
-        self.tasks_by_id[spec.task_id] = FakeTask(spec, now_ms)
-        return self._plan(now_ms, spec.task_id)
+    def start(self, spec: AttemptSpec, now_ms: int) -> list[PredictedEnd]:
+        """Start an attempt; return the predicted ends that change."""
+        self._advance_progress(now_ms)
+        self.attempts_by_id[spec.task_id] = RunningAttempt(spec, now_ms)
+        return self._reschedule_ends(now_ms, spec.task_id)
 
-    def end(self, task_id: str, now_ms: int) -> list[PlannedEnd]:
-        """End an attempt; return the ends that follow from it."""
-        self._settle(now_ms)
-        self.tasks_by_id.pop(task_id, None)
-        return self._plan(now_ms, "")
+    def end(self, task_id: str, now_ms: int) -> list[PredictedEnd]:
+        """Remove an attempt; return the predicted ends that change."""
+        self._advance_progress(now_ms)
+        self.attempts_by_id.pop(task_id, None)
+        return self._reschedule_ends(now_ms, "")
 
     def throttle(
         self, task_id: str, cpu_millis: int, now_ms: int
-    ) -> list[PlannedEnd]:
-        """Bound the processor use of an attempt."""
-        self._settle(now_ms)
-        self.tasks_by_id[task_id].cpu_limit = max(1, cpu_millis)
+    ) -> list[PredictedEnd]:
+        """Limit the processor rate of an attempt.
+
+        :param cpu_millis: new limit, in thousandths of a core.
+        :return: the predicted ends that change.
+        """
+        self._advance_progress(now_ms)
+        self.attempts_by_id[task_id].cpu_limit_millis = max(1, cpu_millis)
         self._is_contended = True
-        return self._plan(now_ms, task_id)
+        return self._reschedule_ends(now_ms, task_id)
 
-    def overrun(self) -> str:
-        """Return the attempt that a lack of memory ends, or ''."""
+    def memory_overrun_victim(self) -> str:
+        """Return the attempt to fail for lack of memory, "" for none."""
         used_mb = sum(
-            task.spec.usage.memory_mb for task in self.tasks_by_id.values()
+            attempt.spec.actual_usage.memory_mb
+            for attempt in self.attempts_by_id.values()
         )
         if used_mb <= self.shape.capacity.memory_mb:
             return ""
         return max(
-            self.tasks_by_id,
-            key=lambda task_id: _excess_mb(self.tasks_by_id[task_id]),
+            self.attempts_by_id,
+            key=lambda task_id: _memory_above_reservation_mb(
+                self.attempts_by_id[task_id]
+            ),
         )
 
     def used_cpu_millis(self) -> float:
-        """Return the processors in use, in thousandths."""
-        return sum(task.rate for task in self.tasks_by_id.values())
+        """Return the processors in use, in thousandths of a core."""
+        return sum(
+            attempt.rate_millicores for attempt in self.attempts_by_id.values()
+        )
 
-    def _settle(self, now_ms: int) -> None:
-        for task in self.tasks_by_id.values():
-            elapsed_ms = now_ms - task.updated_ms
+    def _advance_progress(self, now_ms: int) -> None:
+        for attempt in self.attempts_by_id.values():
+            elapsed_ms = now_ms - attempt.updated_ms
             if elapsed_ms <= 0:
                 continue
-            task.left_ms -= elapsed_ms * task.rate / _demand(task)
-            task.delivered += elapsed_ms * task.rate
-            begin_ms = max(task.updated_ms, self._peak_ms[0])
-            overlap_ms = max(0, min(now_ms, self._peak_ms[1]) - begin_ms)
-            task.peak_delivered += overlap_ms * task.rate
-            task.updated_ms = now_ms
-
-    def _plan(self, now_ms: int, changed: str) -> list[PlannedEnd]:
-        wanted = sum(task.wanted() for task in self.tasks_by_id.values())
-        capacity = self.shape.capacity.cpu_millis
-        share = min(1.0, capacity / wanted) if wanted else 1.0
+            attempt.remaining_ms -= (
+                elapsed_ms
+                * attempt.rate_millicores
+                / _unthrottled_cpu_millis(attempt)
+            )
+            attempt.delivered_millicore_ms += (
+                elapsed_ms * attempt.rate_millicores
+            )
+            counted_from_ms = max(
+                attempt.updated_ms, self._peak_interval_ms[0]
+            )
+            overlap_ms = max(
+                0, min(now_ms, self._peak_interval_ms[1]) - counted_from_ms
+            )
+            attempt.peak_delivered_millicore_ms += (
+                overlap_ms * attempt.rate_millicores
+            )
+            attempt.updated_ms = now_ms
+
+    def _reschedule_ends(
+        self, now_ms: int, changed_task_id: str
+    ) -> list[PredictedEnd]:
+        total_demand_millis = sum(
+            attempt.cpu_demand_millis()
+            for attempt in self.attempts_by_id.values()
+        )
+        capacity_millis = self.shape.capacity.cpu_millis
+        granted_share = (
+            min(1.0, capacity_millis / total_demand_millis)
+            if total_demand_millis
+            else 1.0
+        )
         was_contended = self._is_contended
-        self._is_contended = share < 1.0
-        ends = []
-        for task_id, task in self.tasks_by_id.items():
+        self._is_contended = granted_share < 1.0
+        predicted_ends = []
+        for task_id, attempt in self.attempts_by_id.items():
             is_steady = not (was_contended or self._is_contended)
-            if is_steady and task_id != changed:
+            if is_steady and task_id != changed_task_id:
                 continue
-            task.rate = task.wanted() * share
-            task.generation += 1
-            duration_ms = max(0.0, task.left_ms) * _demand(task) / task.rate
+            attempt.rate_millicores = (
+                attempt.cpu_demand_millis() * granted_share
+            )
+            attempt.generation += 1
+            duration_ms = (
+                max(0.0, attempt.remaining_ms)
+                * _unthrottled_cpu_millis(attempt)
+                / attempt.rate_millicores
+            )
             at_ms = now_ms + int(duration_ms) + 1
-            ends.append(PlannedEnd(at_ms, task_id, task.generation))
-        return ends
+            predicted_ends.append(
+                PredictedEnd(at_ms, task_id, attempt.generation)
+            )
+        return predicted_ends
 
 
-def _demand(task: FakeTask) -> int:
-    return max(1, task.spec.usage.cpu_millis)
+def _unthrottled_cpu_millis(attempt: RunningAttempt) -> int:
+    return max(1, attempt.spec.actual_usage.cpu_millis)
 
 
-def _excess_mb(task: FakeTask) -> int:
-    return task.spec.usage.memory_mb - task.reserved.memory_mb
+def _memory_above_reservation_mb(attempt: RunningAttempt) -> int:
+    return attempt.spec.actual_usage.memory_mb - attempt.reserved.memory_mb
--- a/src/magnoliapitch/bench/decisions/suite.py
+++ b/src/magnoliapitch/bench/decisions/suite.py
@@ -1,4 +1,4 @@
-"""Runs every benched policy on every trace."""
+"""Runs every benchmarked policy on every trace."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from magnoliapitch.bench.decisions.offline import offline_bound
-from magnoliapitch.bench.decisions.result import measure
+from magnoliapitch.bench.decisions.result import measure_policy
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.policy.options import PACKING_FIRST
 from magnoliapitch.policy.options import WAITING_FIRST
@@ -20,18 +20,23 @@
 
 
 class BenchedPolicy(NamedTuple):
-    """A policy with its weights, as the report names it."""
+    """A scheduling policy with a weight profile.
+
+    :param label: name in the report.
+    :param policy: registered name of the policy.
+    :param profile: name of the weight profile.
+    """
 
     label: str
     policy: str
     profile: str = WAITING_FIRST
 
     def build(self) -> Scheduler:
-        """Return a fresh scheduler."""
+        """Return a new scheduler of this policy."""
         return make_scheduler(self.policy, options_of(self.profile))
 
 
-BENCHED = (
+BENCHED_POLICIES = (
     BenchedPolicy("fifo", "fifo"),
     BenchedPolicy("strict-priority", "strict-priority"),
     BenchedPolicy("weighted-declared", "weighted-declared"),
@@ -43,16 +48,17 @@
 
 
 def run_suite(
-    traces: tuple[Trace, ...], benched: tuple[BenchedPolicy, ...] = BENCHED
+    traces: tuple[Trace, ...],
+    benched_policies: tuple[BenchedPolicy, ...] = BENCHED_POLICIES,
 ) -> list[RunResult]:
-    """Measure the policies on the traces.
+    """Measure every policy on every trace.
 
-    :raises BrokenPolicyError: if a decision breaks a promise.
+    :raises InvalidDecisionError: if a decision violates an invariant.
     """
     results = []
     for trace in traces:
         bound = offline_bound(trace)
-        for item in benched:
+        for item in benched_policies:
             scheduler = item.build()
-            results.append(measure(trace, item.label, scheduler, bound))
+            results.append(measure_policy(trace, item.label, scheduler, bound))
     return results
--- a/src/magnoliapitch/bench/decisions/timeline.py
+++ b/src/magnoliapitch/bench/decisions/timeline.py
@@ -1,4 +1,4 @@
-"""Events in order of injected time."""
+"""Event queue of a simulation."""
 
 from __future__ import annotations
 
@@ -13,28 +13,42 @@
 
 
 class Timeline:
-    """Queue of actions, each with its time.
+    """Runs scheduled actions in the order of their simulated time.
 
-    :ivar now_ms: time of the action that runs.
+    Actions of the same time run in the order in which they were scheduled.
+
+    :ivar now_ms: simulated time, that of the last action that ran.
     """
 
     def __init__(self) -> None:
         self.now_ms = 0
-        self._numbers = itertools.count()
-        self._events: list[tuple[int, int, Callable[[], None]]] = []
-
-    def at(self, at_ms: int, action: Callable[[], None]) -> None:
-        """Run an action at a time."""
-        heapq.heappush(self._events, (at_ms, next(self._numbers), action))
-
-    def after(self, delay_ms: int, action: Callable[[], None]) -> None:
-        """Run an action after a delay."""
-        self.at(self.now_ms + delay_ms, action)
-
-    def advance(self, horizon_ms: int) -> bool:
-        """Run the next action; return whether there was one in time."""
-        if not self._events or self._events[0][0] > horizon_ms:
+        self._sequence_numbers = itertools.count()
+        self._scheduled_actions: list[tuple[int, int, Callable[[], None]]] = []
+
+    def schedule_at(self, at_ms: int, action: Callable[[], None]) -> None:
+        """Schedule an action for a point in simulated time."""
+        heapq.heappush(
+            self._scheduled_actions,
+            (at_ms, next(self._sequence_numbers), action),
+        )
+
+    def schedule_after(
+        self, delay_ms: int, action: Callable[[], None]
+    ) -> None:
+        """Schedule an action after a delay in simulated time."""
+        self.schedule_at(self.now_ms + delay_ms, action)
+
+    def run_next(self, horizon_ms: int) -> bool:
+        """Run the next action unless it lies beyond the horizon.
+
+        :param horizon_ms: latest time at which an action still runs.
+        :return: whether an action ran.
+        """
+        if (
+            not self._scheduled_actions
+            or self._scheduled_actions[0][0] > horizon_ms
+        ):
             return False
-        self.now_ms, _, action = heapq.heappop(self._events)
+        self.now_ms, _, action = heapq.heappop(self._scheduled_actions)
         action()
         return True
--- a/src/magnoliapitch/console/bench_decisions.py
+++ b/src/magnoliapitch/console/bench_decisions.py
@@ -4,13 +4,13 @@
 
 from pathlib import Path
 
-from magnoliapitch.bench.decisions import FLEETS
+from magnoliapitch.bench.decisions import DEPLOYMENTS
 from magnoliapitch.bench.decisions import make_traces
 from magnoliapitch.bench.decisions.report import plot
 from magnoliapitch.bench.decisions.report import scaling_table
 from magnoliapitch.bench.decisions.report import table
 from magnoliapitch.bench.decisions.report import to_json
-from magnoliapitch.bench.decisions.scale import scaling
+from magnoliapitch.bench.decisions.scale import measure_scaling
 from magnoliapitch.bench.decisions.suite import run_suite
 from magnoliapitch.console.bench import bench
 
@@ -32,10 +32,10 @@
     :param json: file for the results as JSON.
     :param png: file for the plot; needs the extra ``plot``.
     """
-    results = run_suite(make_traces(FLEETS, seed, scale))
+    results = run_suite(make_traces(DEPLOYMENTS, seed, scale))
     print(table(results))
     if sizes:
-        print(f"\n{scaling_table(scaling())}")
+        print(f"\n{scaling_table(measure_scaling())}")
     if json is not None:
         json.write_bytes(to_json(results))
     if png is not None:
--- a/tests/bench/decisions/test_scale.py
+++ b/tests/bench/decisions/test_scale.py
@@ -2,7 +2,7 @@
 
 import math
 
-from magnoliapitch.bench.decisions.scale import decision_cost
+from magnoliapitch.bench.decisions.scale import measure_decision_cost
 from magnoliapitch.decision.placement import MAX_FALLBACK_PROBES
 from magnoliapitch.decision.placement import MAX_PROBES
 
@@ -11,14 +11,14 @@
 
 
 def test_work_per_start_grows_at_most_with_the_logarithm_of_workers() -> None:
-    few = decision_cost(24, 1_000, starts=STARTS)
-    many = decision_cost(1_200, 1_000, starts=STARTS)
+    few = measure_decision_cost(24, 1_000, starts=STARTS)
+    many = measure_decision_cost(1_200, 1_000, starts=STARTS)
     growth = math.log(1_200) / math.log(24)
     assert 0 < many.probes_per_start <= growth * few.probes_per_start
     assert many.probes_per_start <= MAX_PROBES + MAX_FALLBACK_PROBES
 
 
 def test_work_per_start_does_not_grow_with_the_queue() -> None:
-    short = decision_cost(24, 1_000, starts=STARTS)
-    long = decision_cost(24, 50_000, starts=STARTS)
+    short = measure_decision_cost(24, 1_000, starts=STARTS)
+    long = measure_decision_cost(24, 50_000, starts=STARTS)
     assert 0 < long.probes_per_start <= 2 * short.probes_per_start
--- a/tests/bench/test_slope.py
+++ b/tests/bench/test_slope.py
@@ -7,7 +7,7 @@
 from magnoliapitch.bench.slope import Slope
 
 
-def test_slope_finds_the_line_and_its_worst_distance() -> None:
+def test_slope_fits_a_line_and_its_largest_distance() -> None:
     points = tuple(Point(size, 7.0 + 3.0 * size) for size in (1, 2, 4, 8))
     exact = Slope.from_points("x", "bytes", points)
     assert exact.per_item == pytest.approx(3.0)
@@ -23,17 +23,19 @@
         Slope.from_points("x", "bytes", points)
 
 
-def test_memory_slope_weighs_what_is_held() -> None:
+def test_memory_slope_measures_the_memory_of_the_returned_object() -> None:
     name = "memory of a test buffer"
     memory_slope(name, (10, 20, 40, 80))(
         lambda size: [bytes(10_000) for _ in range(size)]
     )
     from magnoliapitch.bench.capacity import registry
 
-    bench = registry._benches_by_name.pop(name)
+    benchmark = registry._benchmarks_by_name.pop(name)
     slope = Slope.from_points(
         name,
-        bench.unit,
-        tuple(Point(size, bench.measure(size)) for size in bench.sizes),
+        benchmark.unit,
+        tuple(
+            Point(size, benchmark.measure(size)) for size in benchmark.sizes
+        ),
     )
     assert slope.per_item == pytest.approx(10_040, rel=0.02)
--- a/tests/decision/test_starvation.py
+++ b/tests/decision/test_starvation.py
@@ -10,9 +10,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from magnoliapitch.bench.decisions import measure
+from magnoliapitch.bench.decisions import measure_policy
 from magnoliapitch.bench.decisions import offline_bound
-from magnoliapitch.bench.decisions.deployment import BenchFleet
+from magnoliapitch.bench.decisions.deployment import BenchDeployment
 from magnoliapitch.bench.decisions.offline import OfflineBound
 from magnoliapitch.bench.decisions.trace import Trace
 from magnoliapitch.bench.decisions.trace import TracedJob
@@ -30,7 +30,7 @@
     from collections.abc import Callable
 
 
-FLEET = BenchFleet.of_zones("small", ("a",), 8, 16_384)
+DEPLOYMENT = BenchDeployment.from_zones("small", ("a",), 8, 16_384)
 ENTRIES = {
     work_class: CatalogueEntry(
         f"e-{work_class}", f"o-{work_class}", work_class
@@ -38,7 +38,7 @@
     for work_class in WorkClass
 }
 NO_OFFLINE_BOUND = OfflineBound(0.0, 0.0, frozenset())
-ARRIVALS_MS = 1_500_000
+ARRIVAL_WINDOW_MS = 1_500_000
 FLOOD_INTERVAL_MS = 3_000
 
 
@@ -54,7 +54,7 @@
     return TracedJob(
         f"{work_class}-{draw(st.integers(0, 10**9))}",
         ENTRIES[work_class],
-        draw(st.integers(0, ARRIVALS_MS)) // 50 * 50,
+        draw(st.integers(0, ARRIVAL_WINDOW_MS)) // 50 * 50,
         Resources(
             cores * 1_000, min(16_384, cores * 15_000 // tenths_of_declared)
         ),
@@ -71,19 +71,21 @@
             f"flood-{at_ms}",
             ENTRIES[WorkClass.BATCH],
             at_ms,
-            task.usage,
+            task.actual_usage,
             task.run_ms,
             (task,) * 2,
             deadline_ms=at_ms + 600_000,
         )
-        for at_ms in range(0, ARRIVALS_MS, FLOOD_INTERVAL_MS)
+        for at_ms in range(0, ARRIVAL_WINDOW_MS, FLOOD_INTERVAL_MS)
     )
 
 
 def trace_of(jobs: tuple[TracedJob, ...]) -> Trace:
     unique = {job.job_id: job for job in jobs}
     ordered = sorted(unique.values(), key=lambda job: job.arrives_ms)
-    return Trace("random", FLEET, tuple(ordered), ARRIVALS_MS, 10_000)
+    return Trace(
+        "random", DEPLOYMENT, tuple(ordered), ARRIVAL_WINDOW_MS, 10_000
+    )
 
 
 @settings(
@@ -108,7 +110,7 @@
     drawn_jobs = tuple(job for part in jobs for job in part)
     trace = trace_of((*deadline_flood(), *drawn_jobs))
     scheduler = make_scheduler("weighted", options_of(profile))
-    result = measure(trace, profile, scheduler, NO_OFFLINE_BOUND)
+    result = measure_policy(trace, profile, scheduler, NO_OFFLINE_BOUND)
     for work_class, bound_ms in STARVATION_BOUND_MS_BY_CLASS.items():
         assert result.waits_by_class[work_class].gap_ms <= bound_ms
 
@@ -123,26 +125,28 @@
         (TracedTask(Resources(1_000, 1_000), 1_000),),
     )
     trace = trace_of((*deadline_flood(), urgent_job))
-    result = measure(trace, "fifo", FirstFitScheduler({}), NO_OFFLINE_BOUND)
+    result = measure_policy(
+        trace, "fifo", FirstFitScheduler({}), NO_OFFLINE_BOUND
+    )
     bound_ms = STARVATION_BOUND_MS_BY_CLASS[WorkClass.URGENT]
     assert result.waits_by_class["urgent"].gap_ms > bound_ms
 
 
 @pytest.mark.parametrize("profile", ["waiting-first", "packing-first"])
 def test_whole_machine_work_is_not_starved_by_small_work(profile: str) -> None:
-    whole = FLEET.workers[0].capacity
+    whole = DEPLOYMENT.workers[0].capacity
     task = TracedTask(whole._replace(accelerators=0), 60_000)
     gang = TracedJob(
         "whole",
         ENTRIES[WorkClass.GANG],
         300_000,
-        task.usage,
+        task.actual_usage,
         task.run_ms,
         (task,) * 2,
         is_gang=True,
     )
     trace = trace_of((*deadline_flood(), gang))
     scheduler = make_scheduler("weighted", options_of(profile))
-    result = measure(trace, profile, scheduler, offline_bound(trace))
+    result = measure_policy(trace, profile, scheduler, offline_bound(trace))
     bound_ms = STARVATION_BOUND_MS_BY_CLASS[WorkClass.GANG]
     assert result.waits_by_class["gang"].gap_ms <= bound_ms
