--- a/src/magnoliapitch/bench/journal/__init__.py
+++ b/src/magnoliapitch/bench/journal/__init__.py
@@ -1,36 +1,36 @@
-"""Measures of the fold, snapshots, appends and heartbeats.
+"""Benchmarks of applying records, snapshots, appends and heartbeats.
 
-Each function measures one thing and returns its figures, so that other
-benchmarks can vary the sizes and derive slopes.
+Each function measures one operation and returns its figures, so that callers
+can vary the sizes and derive the cost per item.
 """
 
 from __future__ import annotations
 
 from magnoliapitch.bench.journal.append import AppendFigures
 from magnoliapitch.bench.journal.append import measure_appends
-from magnoliapitch.bench.journal.apply import FoldFigures
+from magnoliapitch.bench.journal.apply import ApplyFigures
 from magnoliapitch.bench.journal.apply import SnapshotFigures
-from magnoliapitch.bench.journal.apply import measure_fold
+from magnoliapitch.bench.journal.apply import measure_apply
 from magnoliapitch.bench.journal.apply import measure_snapshot
 from magnoliapitch.bench.journal.heartbeat import HeartbeatFigures
 from magnoliapitch.bench.journal.heartbeat import measure_heartbeats
 from magnoliapitch.bench.journal.progress import ProgressFigures
-from magnoliapitch.bench.journal.progress import measure_in_band
-from magnoliapitch.bench.journal.progress import measure_piggyback
-from magnoliapitch.bench.journal.progress import measure_poll
+from magnoliapitch.bench.journal.progress import measure_heartbeat_reports
+from magnoliapitch.bench.journal.progress import measure_log_reports
+from magnoliapitch.bench.journal.progress import measure_polling
 
 
 __all__ = [
     "AppendFigures",
-    "FoldFigures",
+    "ApplyFigures",
     "HeartbeatFigures",
     "ProgressFigures",
     "SnapshotFigures",
     "measure_appends",
-    "measure_fold",
+    "measure_apply",
     "measure_heartbeats",
-    "measure_in_band",
-    "measure_piggyback",
-    "measure_poll",
+    "measure_log_reports",
+    "measure_heartbeat_reports",
+    "measure_polling",
     "measure_snapshot",
 ]
--- a/src/magnoliapitch/bench/journal/append.py
+++ b/src/magnoliapitch/bench/journal/append.py
@@ -1,4 +1,4 @@
-"""Batch size and delay of group commit under its budget."""
+"""Batch size and delay of group commit under a budget of appends."""
 
 from __future__ import annotations
 
@@ -13,13 +13,16 @@
 
 
 DURATION_MS = 20_000
-LOG_DELAY_MS = 5
+LOG_APPEND_DELAY_MS = 5
 
 
 class AppendFigures(NamedTuple):
-    """What group commit does at one rate, in simulated time.
+    """Group commit at one rate of journal entries, in simulated time.
 
-    :param delay_ms: mean time from the queue to the end of the append.
+    :param appends_per_s: appends to the log.
+    :param entries_per_append: mean batch size.
+    :param delay_ms: mean time from queueing an entry to the end of its
+        append.
     :param max_delay_ms: longest such time.
     """
 
@@ -30,34 +33,40 @@
 
 
 def measure_appends(entries_per_s: int, budget_per_s: int) -> AppendFigures:
-    """Queue entries at an even rate and append them under a budget.
+    """Queue entries at a constant rate and append them under a budget.
 
-    :param budget_per_s: share of one instance, in appends a second.
+    :param entries_per_s: rate at which entries are queued.
+    :param budget_per_s: appends per second that the instance may make.
     """
     clock = ManualClock()
     journal = Journal(StandinLog(), "a", clock, budget_per_s)
-    waiting: list[int] = []
-    delays: list[int] = []
-    due_ms = 0
-    queued = 0
+    queued_times_ms: list[int] = []
+    delays_ms: list[int] = []
+    next_append_ms = 0
+    queued_count = 0
     while clock.now_ms() < DURATION_MS:
         now_ms = clock.now_ms()
-        while queued * 1000 < now_ms * entries_per_s:
+        while queued_count * 1000 < now_ms * entries_per_s:
             journal.enqueue(EntryPresence("a"))
-            waiting.append(now_ms)
-            queued += 1
-        if now_ms >= due_ms and waiting:
-            before = journal.appender.entries
-            due_ms = now_ms + max(journal.append_step(), LOG_DELAY_MS)
-            count = journal.appender.entries - before
-            ended_ms = now_ms + LOG_DELAY_MS
-            delays += [ended_ms - queued_ms for queued_ms in waiting[:count]]
-            del waiting[:count]
+            queued_times_ms.append(now_ms)
+            queued_count += 1
+        if now_ms >= next_append_ms and queued_times_ms:
+            appended_before = journal.appender.entries
+            next_append_ms = now_ms + max(
+                journal.append_step(), LOG_APPEND_DELAY_MS
+            )
+            appended_count = journal.appender.entries - appended_before
+            append_ended_ms = now_ms + LOG_APPEND_DELAY_MS
+            delays_ms += [
+                append_ended_ms - queued_ms
+                for queued_ms in queued_times_ms[:appended_count]
+            ]
+            del queued_times_ms[:appended_count]
         clock.advance(1)
     appends = journal.appender.appends
     return AppendFigures(
         appends * 1000 / DURATION_MS,
         journal.appender.entries / appends,
-        statistics.fmean(delays),
-        max(delays),
+        statistics.fmean(delays_ms),
+        max(delays_ms),
     )
--- a/src/magnoliapitch/bench/journal/apply.py
+++ b/src/magnoliapitch/bench/journal/apply.py
@@ -1,4 +1,4 @@
-"""Speed of the fold and size of its snapshots."""
+"""Speed of applying journal records and cost of snapshots."""
 
 from __future__ import annotations
 
@@ -24,10 +24,12 @@
 from magnoliapitch.resource import Resources
 
 
-class FoldFigures(NamedTuple):
-    """Speed of the fold.
+class ApplyFigures(NamedTuple):
+    """Speed of applying records to the cluster state.
 
-    :param entry_bytes: mean size of an entry in its record.
+    :param records_per_s: applied records.
+    :param entries_per_s: applied entries; a record holds one or more.
+    :param entry_bytes: mean encoded size of an entry.
     """
 
     records_per_s: float
@@ -36,7 +38,13 @@
 
 
 class SnapshotFigures(NamedTuple):
-    """Cost of one snapshot."""
+    """Cost of one snapshot.
+
+    :param state_bytes: size of the encoded state before compression.
+    :param snapshot_bytes: size of the snapshot.
+    :param encode_ms: time to take the snapshot.
+    :param decode_ms: time to load it.
+    """
 
     state_bytes: int
     snapshot_bytes: int
@@ -44,12 +52,16 @@
     decode_ms: float
 
 
-def measure_fold(jobs: int, entries_per_record: int) -> FoldFigures:
-    """Fold the submission and the end of each of some jobs."""
+def measure_apply(jobs: int, entries_per_record: int) -> ApplyFigures:
+    """Apply the submission and the end of jobs of one task.
+
+    :param jobs: number of jobs.
+    :param entries_per_record: entries encoded in one record.
+    """
     entries: list[JobSubmit | TaskEnd] = []
     for number in range(jobs):
-        entries.append(JobSubmit(_job(number), "rack"))
-        entries.append(TaskEnd(_id(number), 0, 0, TaskOutcome.FINISHED))
+        entries.append(JobSubmit(_job_spec(number), "rack"))
+        entries.append(TaskEnd(_job_id(number), 0, 0, TaskOutcome.FINISHED))
     records = [
         encode_record(
             tuple(entries[start : start + entries_per_record]),
@@ -64,7 +76,7 @@
     for offset, data in enumerate(records):
         apply_record(state, LogRecord(offset, data))
     elapsed_s = time.perf_counter() - started_s
-    return FoldFigures(
+    return ApplyFigures(
         len(records) / elapsed_s,
         len(entries) / elapsed_s,
         sum(map(len, records)) / len(entries),
@@ -72,15 +84,22 @@
 
 
 def measure_snapshot(jobs: int, catalogue_entries: int) -> SnapshotFigures:
-    """Encode and load a state with live jobs and a catalogue."""
+    """Take and load a snapshot of open jobs and catalogue entries.
+
+    :param jobs: number of open jobs.
+    :param catalogue_entries: number of catalogue entries.
+    :raises ValueError: if the loaded state differs from the original.
+    """
     state = make_state(jobs, catalogue_entries)
     started_s = time.perf_counter()
     snapshot = take_snapshot(state)
     encoded_s = time.perf_counter()
-    loaded = load_snapshot(snapshot)
+    loaded_state = load_snapshot(snapshot)
     decoded_s = time.perf_counter()
-    if loaded != state:
-        raise ValueError("the loaded state differs from the encoded one")
+    if loaded_state != state:
+        raise ValueError(
+            "the state loaded from a snapshot differs from the original state"
+        )
     return SnapshotFigures(
         len(encode_state(state)),
         len(snapshot.state),
@@ -90,23 +109,28 @@
 
 
 def make_state(jobs: int, catalogue_entries: int) -> ClusterState:
-    """Return a state with jobs and catalogue entries, one a record."""
+    """Return a state with open jobs and catalogue entries.
+
+    Each of them is applied from a record of its own.
+    """
     state = ClusterState()
     for number in range(catalogue_entries):
         entry = CatalogueEntry(f"entry-{number}", "clubs", WorkClass.BATCH)
-        _apply(state, encode_record((CataloguePut(entry, 0),)))
+        _apply_next(state, encode_record((CataloguePut(entry, 0),)))
     for number in range(jobs):
-        _apply(state, encode_record((JobSubmit(_job(number), "rack"),)))
+        _apply_next(
+            state, encode_record((JobSubmit(_job_spec(number), "rack"),))
+        )
     return state
 
 
-def _apply(state: ClusterState, data: bytes) -> None:
+def _apply_next(state: ClusterState, data: bytes) -> None:
     apply_record(state, LogRecord(state.next_offset, data))
 
 
-def _job(number: int) -> JobSpec:
-    return JobSpec(_id(number), "term-roster", 1, Resources(1_000, 2_048))
+def _job_spec(number: int) -> JobSpec:
+    return JobSpec(_job_id(number), "term-roster", 1, Resources(1_000, 2_048))
 
 
-def _id(number: int) -> str:
+def _job_id(number: int) -> str:
     return f"{number * 2_654_435_761 % 2**64:016x}"
--- a/src/magnoliapitch/bench/journal/heartbeat.py
+++ b/src/magnoliapitch/bench/journal/heartbeat.py
@@ -1,4 +1,4 @@
-"""Messages and bytes that heartbeats cost one instance."""
+"""Messages, bytes and processor time that heartbeats cost an instance."""
 
 from __future__ import annotations
 
@@ -25,16 +25,18 @@
 
 
 ROUND_MS = 1_000
-WARM_ROUNDS = 12
+WARM_UP_ROUNDS = 12
 MEASURED_ROUNDS = 10
 
 
 class HeartbeatFigures(NamedTuple):
-    """Cost of one instance, a mean over all.
+    """Mean cost of heartbeats for one instance, per simulated second.
 
     :param messages_per_s: heartbeats and answers that it sends.
     :param bytes_per_s: their encoded size, without framing.
-    :param cpu_ms_per_s: processor time, without sockets and framing.
+    :param bytes_per_message: mean encoded size of one of them.
+    :param cpu_ms_per_s: processor time, without sockets and framing, but
+        with that for following the log.
     """
 
     messages_per_s: float
@@ -43,18 +45,18 @@
     cpu_ms_per_s: float
 
 
-class Member(Membership):
-    """A membership that serves its peers' heartbeats."""
+class BenchMember(Membership):
+    """A membership that answers the heartbeats of its peers."""
 
     def heartbeat(self, beat: Beat) -> Beat:
-        """Take in a peer's heartbeat and return the own one."""
+        """Process a peer's heartbeat and return that of this member."""
         return self.receive(beat)
 
 
-class CountingLink:
-    """Counts what passes between members.
+class CountingPeerLink:
+    """Delivers heartbeats between members and counts them.
 
-    :ivar messages: heartbeats and answers of all members.
+    :ivar messages: number of heartbeats and answers of all members.
     :ivar size_bytes: their encoded size.
     """
 
@@ -69,7 +71,10 @@
         timeout_ms: int,  # noqa: ARG002
         on_answer: Callable[[str, Beat], None],
     ) -> None:
-        """Exchange heartbeats with many peers, one after another."""
+        """Exchange heartbeats with the peers, one after another.
+
+        :param on_answer: called with the address and the answer of each.
+        """
         for address, beat in beats_by_address.items():
             handler = self._network.handlers_by_address[address]
             answer = handler.heartbeat(beat)
@@ -80,21 +85,28 @@
 
 
 class MemberGroup:
-    """Members of several zones that share a log, in simulated time."""
+    """Members in several zones that share a log, in simulated time.
+
+    :param zones: number of zones.
+    :param per_zone: number of members in each zone.
+    """
 
     def __init__(self, zones: int, per_zone: int) -> None:
         self.clock = ManualClock(1_000_000)
         self.log = StandinLog()
         self.network = StandinNetwork()
-        self.link = CountingLink(self.network)
-        self.members: list[Member] = []
+        self.link = CountingPeerLink(self.network)
+        self.members: list[BenchMember] = []
         self.journals: list[Journal] = []
         for zone in range(zones):
             for number in range(per_zone):
                 self._add(f"zone-{zone:02}", number)
 
     def run(self, rounds: int) -> None:
-        """Let every instance follow the log and send its heartbeats."""
+        """Let every member follow the log and send its heartbeats.
+
+        :param rounds: number of rounds; each lasts ``ROUND_MS``.
+        """
         for _ in range(rounds):
             for journal, member in zip(
                 self.journals, self.members, strict=True
@@ -109,31 +121,35 @@
         journal = Journal(self.log, identity.incarnation, self.clock)
         journal.enqueue(EntryJoin(*identity))
         journal.append_step()
-        member = Member(identity, journal, self.clock)
+        member = BenchMember(identity, journal, self.clock)
         self.network.handlers_by_address[address] = member  # type: ignore[assignment]
         self.members.append(member)
         self.journals.append(journal)
 
 
 def beat_bytes(beat: Beat) -> int:
-    """Return the encoded size of a heartbeat."""
+    """Return the encoded size of a heartbeat in bytes."""
     message = codec.schema.Beat.new_message(**codec.beat_to_dict(beat))
     return len(message.to_bytes_packed())
 
 
 def measure_heartbeats(zones: int, per_zone: int) -> HeartbeatFigures:
-    """Count the heartbeats of a settled group."""
+    """Measure the heartbeats of a group whose members know each other.
+
+    :param zones: number of zones.
+    :param per_zone: number of members in each zone.
+    """
     group = MemberGroup(zones, per_zone)
-    group.run(WARM_ROUNDS)
+    group.run(WARM_UP_ROUNDS)
     group.link.messages = group.link.size_bytes = 0
     started_s = time.process_time()
     group.run(MEASURED_ROUNDS)
     cpu_ms = (time.process_time() - started_s) * 1000
     seconds = MEASURED_ROUNDS * ROUND_MS / 1000
-    share = seconds * len(group.members)
+    instance_seconds = seconds * len(group.members)
     return HeartbeatFigures(
-        group.link.messages / share,
-        group.link.size_bytes / share,
+        group.link.messages / instance_seconds,
+        group.link.size_bytes / instance_seconds,
         group.link.size_bytes / group.link.messages,
-        cpu_ms / share,
+        cpu_ms / instance_seconds,
     )
--- a/src/magnoliapitch/bench/journal/progress.py
+++ b/src/magnoliapitch/bench/journal/progress.py
@@ -1,10 +1,10 @@
-"""Three ways to know that a change is in force everywhere."""
+"""Cost of three ways to learn that all instances applied a change."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from magnoliapitch.bench.journal.heartbeat import WARM_ROUNDS
+from magnoliapitch.bench.journal.heartbeat import WARM_UP_ROUNDS
 from magnoliapitch.bench.journal.heartbeat import MemberGroup
 from magnoliapitch.bench.journal.heartbeat import beat_bytes
 from magnoliapitch.clock import ManualClock
@@ -18,19 +18,20 @@
 
 
 POLL_INTERVAL_MS = 1_000
-ROUNDS_MAX = 60
-TICK_MS = 5
-SECONDS_MAX_MS = 60_000
+MAX_ROUNDS = 60
+STEP_MS = 5
+MAX_DURATION_MS = 60_000
 
 
 class ProgressFigures(NamedTuple):
-    """Cost of knowing that one change is in force.
-
-    :param messages: extra messages of all instances, in the log or
-        between instances, until one instance knows.
-    :param size_bytes: their extra bytes, sent and delivered once.
-    :param appends: extra appends to the log.
-    :param delay_ms: time until one instance knows, in simulated time.
+    """Cost until one instance knows that all have applied a change.
+
+    :param messages: additional messages of all instances, to and from the
+        log or between instances.
+    :param size_bytes: additional bytes; those of a log record count once
+        for the append and once for each instance that reads it.
+    :param appends: additional appends to the log.
+    :param delay_ms: simulated time from the append of the change.
     """
 
     messages: float
@@ -39,27 +40,39 @@
     delay_ms: int
 
 
-def measure_piggyback(zones: int, per_zone: int) -> ProgressFigures:
-    """Carry offsets on the heartbeats, the minimum of a zone onwards."""
+def measure_heartbeat_reports(zones: int, per_zone: int) -> ProgressFigures:
+    """Report applied offsets in the heartbeats.
+
+    Between zones only the smallest offset of each zone is reported.
+
+    :param zones: number of zones.
+    :param per_zone: number of instances in each zone.
+    """
     group = MemberGroup(zones, per_zone)
-    group.run(WARM_ROUNDS)
+    group.run(WARM_UP_ROUNDS)
     offset = group.log.append(encode_record((JobCancel("x"),))).unwrap()
     started_ms = group.clock.now_ms()
-    before = group.link.messages
-    for _ in range(ROUNDS_MAX):
+    messages_before = group.link.messages
+    for _ in range(MAX_ROUNDS):
         group.run(1)
         if group.members[0].applied_everywhere().covers(offset):
             break
-    messages = group.link.messages - before
+    messages = group.link.messages - messages_before
     beat = group.members[0].beat()
-    bare = beat._replace(zones=(), next_offset=0, seen_offset=0)
-    extra_bytes = beat_bytes(beat) - beat_bytes(bare)
+    beat_without_progress = beat._replace(
+        zones=(), next_offset=0, seen_offset=0
+    )
+    extra_bytes = beat_bytes(beat) - beat_bytes(beat_without_progress)
     delay_ms = group.clock.now_ms() - started_ms
     return ProgressFigures(0, messages * extra_bytes, 0, delay_ms)
 
 
-def measure_poll(zones: int, per_zone: int) -> ProgressFigures:
-    """Let the instance that wants to know ask every other one."""
+def measure_polling(zones: int, per_zone: int) -> ProgressFigures:
+    """Let the instance that wants to know ask every other one.
+
+    :param zones: number of zones.
+    :param per_zone: number of instances in each zone.
+    """
     group = MemberGroup(zones, per_zone)
     offset = group.log.append(encode_record((JobCancel("x"),))).unwrap()
     started_ms = group.clock.now_ms()
@@ -71,7 +84,7 @@
         len(item.to_bytes_packed()) for item in (request, answer)
     )
     messages = 0
-    for _ in range(ROUNDS_MAX):
+    for _ in range(MAX_ROUNDS):
         group.clock.advance(POLL_INTERVAL_MS)
         for journal in group.journals:
             journal.follow_step()
@@ -84,10 +97,12 @@
     )
 
 
-def measure_in_band(instances: int, budget_per_s: int) -> ProgressFigures:
-    """Let every instance append what it has applied to the log itself.
+def measure_log_reports(instances: int, budget_per_s: int) -> ProgressFigures:
+    """Let every instance report in the log that it applied the change.
 
-    :param budget_per_s: appends a second of all instances together.
+    :param instances: number of instances.
+    :param budget_per_s: appends per second that all instances may make
+        together.
     """
     clock = ManualClock()
     log = StandinLog()
@@ -101,24 +116,27 @@
     for journal in journals:
         journal.follow_step()
     offset = log.append(encode_record((JobCancel("x"),))).unwrap()
-    due_ms = [0] * instances
-    reported: set[int] = set()
-    while clock.now_ms() < SECONDS_MAX_MS:
+    next_append_ms = [0] * instances
+    reported_instances: set[int] = set()
+    while clock.now_ms() < MAX_DURATION_MS:
         for number, journal in enumerate(journals):
             journal.follow_step()
-            if number not in reported and journal.next_offset > offset:
+            if (
+                number not in reported_instances
+                and journal.next_offset > offset
+            ):
                 journal.enqueue(EntryPresence(journal.incarnation))
-                reported.add(number)
-            if clock.now_ms() >= due_ms[number]:
-                due_ms[number] = clock.now_ms() + journal.append_step()
-        clock.advance(TICK_MS)
+                reported_instances.add(number)
+            if clock.now_ms() >= next_append_ms[number]:
+                next_append_ms[number] = clock.now_ms() + journal.append_step()
+        clock.advance(STEP_MS)
         if journals[0].next_offset > offset + instances:
             break
     records = log.read(offset + 1, instances).unwrap().records
     size_bytes = sum(len(record.data) for record in records)
-    delivered = len(records) * instances
+    delivered_count = len(records) * instances
     return ProgressFigures(
-        len(records) + delivered,
+        len(records) + delivered_count,
         size_bytes * (1 + instances),
         len(records),
         clock.now_ms(),
--- a/src/magnoliapitch/console/bench_journal.py
+++ b/src/magnoliapitch/console/bench_journal.py
@@ -21,7 +21,7 @@
     for size in (1, 100):
         print(
             f"fold entries_per_record={size}",
-            journal.measure_fold(10_000, size),
+            journal.measure_apply(10_000, size),
         )
     for jobs in JOB_COUNTS:
         print(f"snapshot jobs={jobs}", journal.measure_snapshot(jobs, 1_000))
@@ -33,8 +33,11 @@
     for zones, per_zone in CELLS:
         cell = f"zones={zones} per_zone={per_zone}"
         print(f"heartbeat {cell}", journal.measure_heartbeats(zones, per_zone))
-        print(f"piggyback {cell}", journal.measure_piggyback(zones, per_zone))
-        print(f"poll {cell}", journal.measure_poll(zones, per_zone))
+        print(
+            f"piggyback {cell}",
+            journal.measure_heartbeat_reports(zones, per_zone),
+        )
+        print(f"poll {cell}", journal.measure_polling(zones, per_zone))
         count = zones * per_zone
-        figures = journal.measure_in_band(count, LOG_APPENDS_PER_S)
+        figures = journal.measure_log_reports(count, LOG_APPENDS_PER_S)
         print(f"in-band {cell}", figures)
