--- a/src/magnoliapitch/bench/exceptions.py
+++ b/src/magnoliapitch/bench/exceptions.py
@@ -4,4 +4,4 @@
 
 
 class BenchError(RuntimeError):
-    """A benchmark that could not be run."""
+    """Raised when a benchmark can't be run."""
--- a/src/magnoliapitch/bench/idle.py
+++ b/src/magnoliapitch/bench/idle.py
@@ -1,4 +1,4 @@
-"""Measures what a running entry instance uses while nothing is asked."""
+"""Measures what a running entry instance uses while it is idle."""
 
 from __future__ import annotations
 
@@ -13,46 +13,53 @@
 
 
 BYTES_PER_MB = 1 << 20
-TIMEOUT_S = 10
+READ_TIMEOUT_S = 10
 
 
 def measure_idle(admin_url: str, seconds: float) -> Idle:
-    """Compare the counters of a process at two moments.
+    """Read the resource counters of an instance twice and compare them.
 
     :param admin_url: base address of the operators' listener.
-    :param seconds: time between the two readings.
-    :raises BenchError: if the instance does not answer.
+    :param seconds: time between the two readings; the instance should get
+        no requests in it.
+    :raises BenchError: if the instance does not answer with JSON.
     """
-    before = _state(admin_url)
+    state_before = _read_state(admin_url)
     time.sleep(seconds)
-    after = _state(admin_url)
-    elapsed_s = _cost(after, "elapsed_s") - _cost(before, "elapsed_s")
-    cpu_s = _cost(after, "cpu_s") - _cost(before, "cpu_s")
-    traffic = sum(
-        _cost(after, key) - _cost(before, key)
+    state_after = _read_state(admin_url)
+    elapsed_s = _cost_value(state_after, "elapsed_s") - _cost_value(
+        state_before, "elapsed_s"
+    )
+    cpu_s = _cost_value(state_after, "cpu_s") - _cost_value(
+        state_before, "cpu_s"
+    )
+    traffic_bytes = sum(
+        _cost_value(state_after, key) - _cost_value(state_before, key)
         for key in ("received_bytes", "sent_bytes")
     )
     return Idle(
         cpu_s / elapsed_s,
-        _cost(after, "memory_bytes") / BYTES_PER_MB,
-        traffic / elapsed_s,
-        len(after["jobs"]["workers"]),
+        _cost_value(state_after, "memory_bytes") / BYTES_PER_MB,
+        traffic_bytes / elapsed_s,
+        len(state_after["jobs"]["workers"]),
         elapsed_s,
     )
 
 
-def _cost(state: dict[str, Any], key: str) -> float:
+def _cost_value(state: dict[str, Any], key: str) -> float:
     return float(state["cost"][key])
 
 
-def _state(admin_url: str) -> dict[str, Any]:
+def _read_state(admin_url: str) -> dict[str, Any]:
     url = f"{admin_url.rstrip('/')}/v1/state"
     try:
         response = urllib3.request(
-            "GET", url, timeout=TIMEOUT_S, retries=False
+            "GET", url, timeout=READ_TIMEOUT_S, retries=False
         )
-        value = response.json()
+        state = response.json()
     except (urllib3.exceptions.HTTPError, ValueError) as error:
-        raise BenchError(f"{url}: {error}") from error
-    assert isinstance(value, dict)
-    return value
+        raise BenchError(
+            f"reading the state from {url} failed: {error}"
+        ) from error
+    assert isinstance(state, dict)
+    return state
--- a/src/magnoliapitch/bench/request.py
+++ b/src/magnoliapitch/bench/request.py
@@ -1,4 +1,4 @@
-"""Measures the cost of an entry on the path of a small request."""
+"""Measures what an entry instance adds to the latency of a small request."""
 
 from __future__ import annotations
 
@@ -44,27 +44,30 @@
     "clubes-app",
     Limits(concurrent_requests=1_000, requests_per_second=1_000_000),
 )
-SHAPE = CellShape(
+CELL_SHAPE = CellShape(
     ("norte",),
     ENTRY.app,
     Resources(1_000, 1_000, 0),
     workers_per_zone=1,
     backends_per_zone=4,
 )
-BODY = b"x" * 200
-WARM_UP = 200
+REQUEST_BODY = b"x" * 200
+WARM_UP_REQUESTS = 200
 ROUNDS = 5
 START_TIMEOUT_S = 30
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 PROFILE_ROWS = 30
 
 
 class PathFigure(NamedTuple):
-    """Latency and throughput of one path.
-
-    :param path: ``direct``, ``owner`` or ``peer``.
-    :param added_p50_ms: median beyond that of the direct path.
-    :param ratio: median divided by that of the direct path.
+    """Latency and throughput of one path of a request.
+
+    :param path: ``direct`` to a backend server, through its ``owner``, or
+        through a ``peer`` that forwards the request to the owner.
+    :param requests: number of measured requests.
+    :param callers: number of concurrent callers.
+    :param added_p50_ms: median latency less that of the direct path.
+    :param ratio: median latency divided by that of the direct path.
     """
 
     path: str
@@ -77,51 +80,67 @@
     ratio: float
 
 
-class _Bench(NamedTuple):
+class _RunningPaths(NamedTuple):
+    """Running entry instances, with a call that sends a request by each path.
+
+    A call returns whether the request succeeded.
+    """
+
     calls_by_path: dict[str, Callable[[], bool]]
-    owner: EntryNode
+    owner_node: EntryNode
 
 
 def measure_paths(count: int, callers: int) -> tuple[PathFigure, ...]:
-    """Measure the paths in turns, so that all meet the same machine.
+    """Measure all paths of a request.
+
+    The paths take turns, so that other load on the machine affects all of
+    them alike.
 
-    :param count: requests on each path.
-    :param callers: callers at once.
+    :param count: number of requests on each path.
+    :param callers: number of concurrent callers.
+    :raises BenchError: if the instances don't start or a request fails.
     """
-    times_by_path: dict[str, list[float]] = {}
-    seconds_by_path: dict[str, float] = {}
-    with _running() as bench:
-        for call in bench.calls_by_path.values():
-            _repeat(call, WARM_UP, callers)
+    times_ms_by_path: dict[str, list[float]] = {}
+    elapsed_s_by_path: dict[str, float] = {}
+    with _running_paths() as paths:
+        for call in paths.calls_by_path.values():
+            _measure_calls(call, WARM_UP_REQUESTS, callers)
         for _ in range(ROUNDS):
-            for path, call in bench.calls_by_path.items():
+            for path, call in paths.calls_by_path.items():
                 started_s = time.perf_counter()
-                times = _repeat(call, count // ROUNDS, callers)
-                spent_s = time.perf_counter() - started_s
-                times_by_path.setdefault(path, []).extend(times)
-                seconds_by_path[path] = (
-                    seconds_by_path.get(path, 0.0) + spent_s
+                times_ms = _measure_calls(call, count // ROUNDS, callers)
+                elapsed_s = time.perf_counter() - started_s
+                times_ms_by_path.setdefault(path, []).extend(times_ms)
+                elapsed_s_by_path[path] = (
+                    elapsed_s_by_path.get(path, 0.0) + elapsed_s
                 )
-    base_ms = float(np.median(times_by_path["direct"]))
+    direct_p50_ms = float(np.median(times_ms_by_path["direct"]))
     return tuple(
-        _figure(path, times, seconds_by_path[path], callers, base_ms)
-        for path, times in times_by_path.items()
+        _figure(
+            path, times_ms, elapsed_s_by_path[path], callers, direct_p50_ms
+        )
+        for path, times_ms in times_ms_by_path.items()
     )
 
 
 def profile_owner(count: int) -> str:
-    """Return where one thread of an owner spends its time."""
-    with _running() as bench:
-        application = bench.owner.caller_listener.application
+    """Return a profile of one thread of an owner that handles requests.
+
+    :param count: number of requests.
+    """
+    with _running_paths() as paths:
+        application = paths.owner_node.caller_listener.application
         environ = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": f"/v1/requests/{ENTRY.name}",
-            "CONTENT_LENGTH": str(len(BODY)),
+            "CONTENT_LENGTH": str(len(REQUEST_BODY)),
         }
 
         def call() -> None:
-            body = io.BytesIO(BODY)
-            list(application({**environ, "wsgi.input": body}, _ignore))
+            body = io.BytesIO(REQUEST_BODY)
+            list(
+                application({**environ, "wsgi.input": body}, _ignore_response)
+            )
 
         profile = cProfile.Profile()
         profile.enable()
@@ -134,82 +153,91 @@
     return text.getvalue()
 
 
-def _ignore(status: str, headers: list[tuple[str, str]]) -> None:
+def _ignore_response(status: str, headers: list[tuple[str, str]]) -> None:
     del status, headers
 
 
 @contextmanager
-def _running() -> Iterator[_Bench]:
-    cell = Cell(SHAPE)
+def _running_paths() -> Iterator[_RunningPaths]:
+    cell = Cell(CELL_SHAPE)
     server = CellServer(
         cell.log, cell.instance_list, cell.workers, cell.backends
     )
     server.start()
     cell.log.append(encode_record((CataloguePut(ENTRY, 0),)))
-    nodes = [cell.add_entry(zone, HttpBackendClient()) for zone in _zones()]
+    nodes = [
+        cell.add_entry(zone, HttpBackendClient()) for zone in _entry_zones()
+    ]
     for node in nodes:
         node.start()
     try:
-        calls = {"direct": _direct(cell)}
+        calls = {"direct": _direct_call(cell)}
         for path, node in zip(("owner", "peer"), nodes, strict=True):
-            calls[path] = _through(node)
-            _await(calls[path])
-        yield _Bench(calls, nodes[0])
+            calls[path] = _call_through_entry(node)
+            _wait_until_served(calls[path])
+        yield _RunningPaths(calls, nodes[0])
     finally:
         for node in nodes:
             node.stop()
         server.stop()
 
 
-def _zones() -> tuple[str, str]:
-    return SHAPE.zones[0], "no-servers-here"
+def _entry_zones() -> tuple[str, str]:
+    return CELL_SHAPE.zones[0], "no-servers-here"
 
 
-def _direct(cell: Cell) -> Callable[[], bool]:
+def _direct_call(cell: Cell) -> Callable[[], bool]:
     client = HttpBackendClient()
     servers = [
         info
         for info in cell.instance_list.by_id.values()
         if info.role is InstanceRole.BACKEND_SERVER
     ]
-    request = BackendRequest("direct", ENTRY.name, BODY, ENTRY.patience_ms)
+    request = BackendRequest(
+        "direct", ENTRY.name, REQUEST_BODY, ENTRY.patience_ms
+    )
     return lambda: client.send(servers[0], request).is_ok()
 
 
-def _through(node: EntryNode) -> Callable[[], bool]:
+def _call_through_entry(node: EntryNode) -> Callable[[], bool]:
     address = node.settings.address
     port = node.settings.listeners.caller_port
     pool = urllib3.HTTPConnectionPool(address, port, maxsize=64)
     path = f"/v1/requests/{ENTRY.name}"
 
     def call() -> bool:
-        answer = pool.urlopen("POST", path, body=BODY, retries=False)
+        answer = pool.urlopen("POST", path, body=REQUEST_BODY, retries=False)
         return answer.status == 200
 
     return call
 
 
-def _await(call: Callable[[], bool]) -> None:
+def _wait_until_served(call: Callable[[], bool]) -> None:
     deadline_s = time.monotonic() + START_TIMEOUT_S
     while not call():
         if time.monotonic() > deadline_s:
-            raise BenchError("the entry did not begin to serve")
-        time.sleep(POLL_S)
+            raise BenchError(
+                "an entry instance did not serve requests within "
+                f"{START_TIMEOUT_S} s"
+            )
+        time.sleep(POLL_INTERVAL_S)
 
 
-def _repeat(call: Callable[[], bool], count: int, callers: int) -> list[float]:
+def _measure_calls(
+    call: Callable[[], bool], count: int, callers: int
+) -> list[float]:
     times_ms: list[float] = []
     lock = threading.Lock()
 
-    def run(part: int) -> None:
-        own = []
-        for _ in range(part):
+    def run(call_count: int) -> None:
+        thread_times_ms = []
+        for _ in range(call_count):
             started_ns = time.perf_counter_ns()
             if not call():
-                raise BenchError("a request failed")
-            own.append((time.perf_counter_ns() - started_ns) / 1e6)
+                raise BenchError("a request failed during the measurement")
+            thread_times_ms.append((time.perf_counter_ns() - started_ns) / 1e6)
         with lock:
-            times_ms.extend(own)
+            times_ms.extend(thread_times_ms)
 
     with ThreadPoolExecutor(callers) as threads:
         list(threads.map(run, [count // callers] * callers))
@@ -219,9 +247,9 @@
 def _figure(
     path: str,
     times_ms: list[float],
-    seconds: float,
+    elapsed_s: float,
     callers: int,
-    base_ms: float,
+    direct_p50_ms: float,
 ) -> PathFigure:
     p50_ms, p99_ms = (float(v) for v in np.percentile(times_ms, (50, 99)))
     return PathFigure(
@@ -230,7 +258,7 @@
         callers,
         p50_ms,
         p99_ms,
-        len(times_ms) / seconds,
-        p50_ms - base_ms,
-        p50_ms / base_ms,
+        len(times_ms) / elapsed_s,
+        p50_ms - direct_p50_ms,
+        p50_ms / direct_p50_ms,
     )
--- a/src/magnoliapitch/bench/slope.py
+++ b/src/magnoliapitch/bench/slope.py
@@ -1,4 +1,4 @@
-"""Straight-line fits of a cost against a size."""
+"""Linear fits of a cost against a size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class Point(NamedTuple):
     """One measurement.
 
-    :param size: number of things, for example workers.
+    :param size: number of items, for example workers.
     :param cost: measured cost, in the unit of the slope.
     """
 
@@ -19,7 +19,7 @@
 
 
 class Slope(NamedTuple):
-    """A least-squares line through measured points.
+    """Least-squares line through measured points.
 
     :param name: what was measured.
     :param unit: unit of the cost.
@@ -41,15 +41,18 @@
     def from_points(
         cls, name: str, unit: str, points: tuple[Point, ...]
     ) -> Slope:
-        """Fit a line.
+        """Fit a line to measured points.
 
-        :param points: at least four points of different sizes.
-        :raises ValueError: if there are fewer.
+        :param points: measurements of at least four different sizes.
+        :raises ValueError: if there are fewer different sizes.
         """
         sizes = np.array([point.size for point in points], dtype=float)
         costs = np.array([point.cost for point in points], dtype=float)
         if len(set(sizes)) < 4:
-            raise ValueError(f"{name}: a slope needs four sizes")
+            raise ValueError(
+                f"{name}: a slope needs at least four sizes, "
+                f"but the points have {len(set(sizes))}"
+            )
         per_item, fixed = np.polyfit(sizes, costs, 1)
         distances = np.abs(costs - (per_item * sizes + fixed))
         residual = float(distances.max() / costs.max())
--- a/src/magnoliapitch/bench/waiting.py
+++ b/src/magnoliapitch/bench/waiting.py
@@ -1,4 +1,4 @@
-"""Measures what callers cost that wait in threads of a listener."""
+"""Measures the cost of callers that wait in threads of a listener."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 
 
 THREAD_COUNTS = (64, 128, 256, 512, 1_024)
-TIMEOUT_S = 60
-REQUESTS = 2_000
+WAIT_TIMEOUT_S = 60
+QUICK_REQUEST_COUNT = 2_000
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-WAIT = b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n"
-QUICK = b"GET /quick HTTP/1.1\r\nHost: a\r\n\r\n"
+WAIT_REQUEST = b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n"
+QUICK_REQUEST = b"GET /quick HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
 class WaitingFigure(NamedTuple):
-    """Cost of a listener all of whose threads but one wait.
+    """Cost of a listener whose threads all wait except one.
 
-    :param added_mb: resident memory beyond that without the listener.
+    :param threads: number of threads of the listener.
+    :param added_mb: growth of the resident memory.
+    :param kb_per_thread: growth divided by the number of threads.
     :param start_s: time to start the threads.
-    :param requests_per_s: requests that the last thread answers.
+    :param requests_per_s: requests that the remaining thread answers.
     """
 
     threads: int
@@ -41,20 +43,20 @@
 
 
 def measure_waiting() -> tuple[WaitingFigure, ...]:
-    """Measure listeners of 64 to 1,024 threads."""
+    """Measure listeners of 64 to 1,024 threads, of which all but one wait."""
     return tuple(_measure(threads) for threads in THREAD_COUNTS)
 
 
 def _measure(threads: int) -> WaitingFigure:
-    go_on = threading.Event()
-    entered = threading.Semaphore(0)
+    end_waiting = threading.Event()
+    handler_entered = threading.Semaphore(0)
     application = Application()
 
     @application.route("GET", "/wait")
     def wait(request: HttpRequest) -> HttpResponse:
         del request
-        entered.release()
-        go_on.wait(TIMEOUT_S)
+        handler_entered.release()
+        end_waiting.wait(WAIT_TIMEOUT_S)
         return json_response({})
 
     @application.route("GET", "/quick")
@@ -62,38 +64,42 @@
         del request
         return json_response({})
 
-    before = _resident_bytes()
+    resident_bytes_before = _resident_bytes()
     listener = Listener("waiting", ("127.0.0.1", 0), application, threads)
     started_s = time.perf_counter()
     listener.start()
     start_s = time.perf_counter() - started_s
-    streams = [_connect(listener.port) for _ in range(threads)]
-    for stream in streams[1:]:
-        stream.sendall(WAIT)
-        entered.acquire(timeout=TIMEOUT_S)
-    added = _resident_bytes() - before
-    rate = _rate(streams[0])
-    go_on.set()
-    for stream in streams:
-        stream.close()
+    connections = [_connect(listener.port) for _ in range(threads)]
+    for connection in connections[1:]:
+        connection.sendall(WAIT_REQUEST)
+        handler_entered.acquire(timeout=WAIT_TIMEOUT_S)
+    added_bytes = _resident_bytes() - resident_bytes_before
+    requests_per_s = _quick_requests_per_s(connections[0])
+    end_waiting.set()
+    for connection in connections:
+        connection.close()
     listener.stop()
     return WaitingFigure(
-        threads, added / 2**20, added / threads / 1024, start_s, rate
+        threads,
+        added_bytes / 2**20,
+        added_bytes / threads / 1024,
+        start_s,
+        requests_per_s,
     )
 
 
-def _rate(stream: socket.socket) -> float:
+def _quick_requests_per_s(connection: socket.socket) -> float:
     started_s = time.perf_counter()
-    for _ in range(REQUESTS):
-        stream.sendall(QUICK)
-        stream.recv(65_536)
-    return REQUESTS / (time.perf_counter() - started_s)
+    for _ in range(QUICK_REQUEST_COUNT):
+        connection.sendall(QUICK_REQUEST)
+        connection.recv(65_536)
+    return QUICK_REQUEST_COUNT / (time.perf_counter() - started_s)
 
 
 def _connect(port: int) -> socket.socket:
-    stream = socket.create_connection(("127.0.0.1", port), TIMEOUT_S)
-    stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return stream
+    connection = socket.create_connection(("127.0.0.1", port), WAIT_TIMEOUT_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return connection
 
 
 def _resident_bytes() -> int:
