--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -15,7 +15,7 @@
 from magnoliapitch.bench.capacity.registry import PROCESSOR_UNIT
 from magnoliapitch.bench.capacity.registry import direct_slope
 from magnoliapitch.bench.capacity.registry import processor_slope
-from magnoliapitch.bench.capacity.served import serve_worker
+from magnoliapitch.bench.capacity.relayed_standins import serve_worker
 from magnoliapitch.bench.decisions.scale import measure_decision_cost
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state_machine import apply_record
--- a/src/magnoliapitch/bench/capacity/wire.py
+++ b/src/magnoliapitch/bench/capacity/wire.py
@@ -8,8 +8,8 @@
 from magnoliapitch.bench.capacity.processor import sample_heartbeat
 from magnoliapitch.bench.capacity.registry import size_slope
 from magnoliapitch.bench.capacity.relay import CountingRelay
-from magnoliapitch.bench.capacity.served import serve_standins
-from magnoliapitch.bench.capacity.served import serve_worker
+from magnoliapitch.bench.capacity.relayed_standins import serve_standins
+from magnoliapitch.bench.capacity.relayed_standins import serve_worker
 from magnoliapitch.clock import MonotonicClock
 from magnoliapitch.journal.http_log import HttpLog
 from magnoliapitch.membership.http_instance_list import HttpInstanceList
