--- a/src/magnoliapitch/bench/decisions/replay.py
+++ b/src/magnoliapitch/bench/decisions/replay.py
@@ -80,7 +80,7 @@
         :param horizon_ms: simulated time at which the replay stops even if
             jobs are unfinished.
         """
-        self._schedule_trace()
+        self._set_up_trace()
         while self.timeline.run_next(horizon_ms):
             if self._jobs_to_arrive == 0 and self._unfinished_jobs == 0:
                 break
@@ -91,7 +91,7 @@
         """Simulated time."""
         return self.timeline.now_ms
 
-    def _schedule_trace(self) -> None:
+    def _set_up_trace(self) -> None:
         trace = self.trace
         self._scheduler.set_catalogue(trace.catalogue())
         for worker in trace.deployment.workers:
--- a/src/magnoliapitch/bench/journal/append.py
+++ b/src/magnoliapitch/bench/journal/append.py
@@ -12,7 +12,7 @@
 from magnoliapitch.standin.log import StandinLog
 
 
-DURATION_MS = 20_000
+SIMULATED_DURATION_MS = 20_000
 LOG_APPEND_DELAY_MS = 5
 
 
@@ -44,7 +44,7 @@
     delays_ms: list[int] = []
     next_append_ms = 0
     queued_count = 0
-    while clock.now_ms() < DURATION_MS:
+    while clock.now_ms() < SIMULATED_DURATION_MS:
         now_ms = clock.now_ms()
         while queued_count * 1000 < now_ms * entries_per_s:
             journal.enqueue(EntryPresence("a"))
@@ -65,7 +65,7 @@
         clock.advance(1)
     appends = journal.appender.appends
     return AppendFigures(
-        appends * 1000 / DURATION_MS,
+        appends * 1000 / SIMULATED_DURATION_MS,
         journal.appender.entries / appends,
         statistics.fmean(delays_ms),
         max(delays_ms),
