--- a/src/magnoliapitch/capacity/measurement.py
+++ b/src/magnoliapitch/capacity/measurement.py
@@ -25,7 +25,7 @@
     :param core_share: processor time divided by elapsed time, 1.0 for one
         whole core.
     :param memory_mb: resident memory, in mebibytes.
-    :param bytes_per_second: bytes sent and received per second.
+    :param bytes_per_second: traffic to and from the platform and workers.
     :param workers: number of workers that the entry owned.
     :param seconds: duration of the measurement, in seconds.
     """
--- a/src/magnoliapitch/console/bench_journal.py
+++ b/src/magnoliapitch/console/bench_journal.py
@@ -18,15 +18,16 @@
 def bench_journal() -> None:
     """Measure the journal: log records, snapshots, appends and progress.
 
-    The rows named fold give the speed at which log records are applied to
+    The rows named apply give the speed at which log records are applied to
     the state. Progress reports tell instances how far the others have
-    applied the log.
+    applied the log; they travel on heartbeats, as answers to polls or in the
+    log itself.
     """
     configure_logging("bench", "local", EventLevel.ERROR)
     for entries_per_record in (1, 100):
         print(
-            f"fold entries_per_record={entries_per_record}",
-            journal.measure_fold(10_000, entries_per_record),
+            f"apply entries_per_record={entries_per_record}",
+            journal.measure_apply(10_000, entries_per_record),
         )
     for jobs in JOB_COUNTS:
         print(f"snapshot jobs={jobs}", journal.measure_snapshot(jobs, 1_000))
@@ -42,9 +43,12 @@
             f"heartbeat {layout}", journal.measure_heartbeats(zones, per_zone)
         )
         print(
-            f"piggyback {layout}", journal.measure_piggyback(zones, per_zone)
+            f"heartbeat reports {layout}",
+            journal.measure_heartbeat_reports(zones, per_zone),
         )
-        print(f"poll {layout}", journal.measure_poll(zones, per_zone))
+        print(f"polling {layout}", journal.measure_polling(zones, per_zone))
         instance_count = zones * per_zone
-        figures = journal.measure_in_band(instance_count, LOG_APPENDS_PER_S)
-        print(f"in-band {layout}", figures)
+        figures = journal.measure_log_reports(
+            instance_count, LOG_APPENDS_PER_S
+        )
+        print(f"log reports {layout}", figures)
