--- a/src/magnoliapitch/bench/request.py
+++ b/src/magnoliapitch/bench/request.py
@@ -28,8 +28,8 @@
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.resource import Resources
-from magnoliapitch.standin.cell import Cell
-from magnoliapitch.standin.cell import CellShape
+from magnoliapitch.standin.cluster import Cell
+from magnoliapitch.standin.cluster import CellShape
 from magnoliapitch.standin.server import CellServer
 
 
--- a/src/magnoliapitch/standin/demo.py
+++ b/src/magnoliapitch/standin/demo.py
@@ -17,8 +17,8 @@
 from magnoliapitch.settings import TimingSettings
 from magnoliapitch.standin.audit import AuditedWorkers
 from magnoliapitch.standin.caller import RequestSender
-from magnoliapitch.standin.cell import CellOptions
-from magnoliapitch.standin.cell import CellShape
+from magnoliapitch.standin.cluster import CellOptions
+from magnoliapitch.standin.cluster import CellShape
 from magnoliapitch.standin.report import DemoResult
 from magnoliapitch.standin.serving import ServingCell
 from magnoliapitch.standin.submitter import JobSubmitter
--- a/src/magnoliapitch/standin/deployment.py
+++ b/src/magnoliapitch/standin/deployment.py
@@ -15,7 +15,7 @@
 from magnoliapitch.catalogue.file import TABLE
 from magnoliapitch.catalogue.file import read_entries
 from magnoliapitch.resource import Resources
-from magnoliapitch.standin.cell import CellShape
+from magnoliapitch.standin.cluster import CellShape
 from magnoliapitch.standin.exceptions import InvalidDeploymentError
 from magnoliapitch.toml_file import read_toml
 from magnoliapitch.validation import describe_error
--- a/src/magnoliapitch/standin/serving.py
+++ b/src/magnoliapitch/standin/serving.py
@@ -7,8 +7,8 @@
 
 from magnoliapitch.journal.codec import encode_record
 from magnoliapitch.journal.record import CataloguePut
-from magnoliapitch.standin.cell import Cell
-from magnoliapitch.standin.cell import CellOptions
+from magnoliapitch.standin.cluster import Cell
+from magnoliapitch.standin.cluster import CellOptions
 from magnoliapitch.standin.server import CellServer
 
 
--- a/tests/api/conftest.py
+++ b/tests/api/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 import urllib3
 
-from magnoliapitch.standin.cell import Cell
+from magnoliapitch.standin.cluster import Cell
 from magnoliapitch.standin.demo import QUETZALTENANGO
 
 
--- a/tests/history/scene.py
+++ b/tests/history/scene.py
@@ -32,8 +32,8 @@
 from magnoliapitch.resource import Resources
 from magnoliapitch.settings.model import PlatformSettings
 from magnoliapitch.settings.model import Settings
-from magnoliapitch.standin.cell import Cell
-from magnoliapitch.standin.cell import CellShape
+from magnoliapitch.standin.cluster import Cell
+from magnoliapitch.standin.cluster import CellShape
 from magnoliapitch.standin.peer import StandinNetwork
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -13,8 +13,8 @@
 import pytest
 import urllib3
 
-from magnoliapitch.standin.cell import Cell
-from magnoliapitch.standin.cell import free_ports
+from magnoliapitch.standin.cluster import Cell
+from magnoliapitch.standin.cluster import free_ports
 from magnoliapitch.standin.demo import QUETZALTENANGO
 from magnoliapitch.standin.server import CellServer
 
--- a/tests/request/conftest.py
+++ b/tests/request/conftest.py
@@ -21,8 +21,8 @@
 from magnoliapitch.resource import Resources
 from magnoliapitch.settings.model import PlatformSettings
 from magnoliapitch.settings.model import Settings
-from magnoliapitch.standin.cell import Cell
-from magnoliapitch.standin.cell import CellShape
+from magnoliapitch.standin.cluster import Cell
+from magnoliapitch.standin.cluster import CellShape
 from magnoliapitch.standin.peer import StandinNetwork
 
 
