--- a/src/magnoliapitch/bench/capacity/served.py
+++ b/src/magnoliapitch/bench/capacity/served.py
@@ -12,7 +12,7 @@
 from magnoliapitch.standin.backend import StandinBackends
 from magnoliapitch.standin.instance import StandinInstanceList
 from magnoliapitch.standin.log import StandinLog
-from magnoliapitch.standin.server import CellServer
+from magnoliapitch.standin.server import StandinServer
 from magnoliapitch.standin.worker import StandinWorkers
 from magnoliapitch.worker.http_pool import HttpWorkerPool
 from magnoliapitch.worker.lease import LeaseGrant
@@ -72,7 +72,7 @@
 ) -> Iterator[CountingRelay]:
     """Serve stand-ins behind a relay for the length of the context."""
     backends = StandinBackends()
-    server = CellServer(log, instance_list, workers, backends, THREADS)
+    server = StandinServer(log, instance_list, workers, backends, THREADS)
     server.start()
     relay = CountingRelay(int(server.url.rpartition(":")[2]))
     relay.start()
--- a/src/magnoliapitch/bench/request.py
+++ b/src/magnoliapitch/bench/request.py
@@ -28,9 +28,9 @@
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.resource import Resources
-from magnoliapitch.standin.cluster import Cell
-from magnoliapitch.standin.cluster import CellShape
-from magnoliapitch.standin.server import CellServer
+from magnoliapitch.standin.cluster import ClusterShape
+from magnoliapitch.standin.cluster import StandinCluster
+from magnoliapitch.standin.server import StandinServer
 
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
     "clubes-app",
     Limits(concurrent_requests=1_000, requests_per_second=1_000_000),
 )
-SHAPE = CellShape(
+SHAPE = ClusterShape(
     ("norte",),
     ENTRY.app,
     Resources(1_000, 1_000, 0),
@@ -140,8 +140,8 @@
 
 @contextmanager
 def _running() -> Iterator[_Bench]:
-    cell = Cell(SHAPE)
-    server = CellServer(
+    cell = StandinCluster(SHAPE)
+    server = StandinServer(
         cell.log, cell.instance_list, cell.workers, cell.backends
     )
     server.start()
@@ -165,7 +165,7 @@
     return SHAPE.zones[0], "no-servers-here"
 
 
-def _direct(cell: Cell) -> Callable[[], bool]:
+def _direct(cell: StandinCluster) -> Callable[[], bool]:
     client = HttpBackendClient()
     servers = [
         info
--- a/src/magnoliapitch/capacity/plan.py
+++ b/src/magnoliapitch/capacity/plan.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from magnoliapitch.job.channel import POLL_BUSY_MS
+from magnoliapitch.job.channel import BUSY_POLL_INTERVAL_MS
 from magnoliapitch.membership.fleet import REFRESH_INTERVAL_MS
 from magnoliapitch.membership.presence import PRESENCE_INTERVAL_MS
 from magnoliapitch.membership.table import HEARTBEAT_INTERVAL_MS
@@ -39,7 +39,7 @@
 
     entries_per_zone: int = 7
     lease_ttl_s: float = LEASE_TTL_MAX_MS / 1000
-    poll_s: float = POLL_BUSY_MS / 1000
+    poll_s: float = BUSY_POLL_INTERVAL_MS / 1000
     heartbeat_s: float = HEARTBEAT_INTERVAL_MS / 1000
     remote_links: int = REMOTE_LINKS
     presence_s: float = PRESENCE_INTERVAL_MS / 1000
--- a/src/magnoliapitch/console/dev.py
+++ b/src/magnoliapitch/console/dev.py
@@ -12,7 +12,7 @@
 from magnoliapitch.standin.deployment import Deployment
 from magnoliapitch.standin.deployment import load_deployment
 from magnoliapitch.standin.exceptions import InvalidDeploymentError
-from magnoliapitch.standin.serving import ServingCell
+from magnoliapitch.standin.serving import ServingCluster
 
 
 def dev(
@@ -34,7 +34,7 @@
     loaded = read_deployment(deployment)
     configure_logging("dev", loaded.name, EventLevel.WARNING)
     ends = ending_on_signals()
-    serving = ServingCell(loaded, platform_port)
+    serving = ServingCluster(loaded, platform_port)
     serving.start(loaded.entries if entries is None else entries)
     try:
         _print_urls(serving)
@@ -55,12 +55,12 @@
         raise CommandError(str(error), ExitCode.INVALID_FILE) from error
 
 
-def _print_urls(serving: ServingCell) -> None:
+def _print_urls(serving: ServingCluster) -> None:
     url = serving.server.url
     print(f"deployment {serving.deployment.name}")
     print(f"log {url}/log")
     print(f"instance-list {url}")
-    for node in serving.cell.entries:
+    for node in serving.cluster.entries:
         address = node.settings.address
         print(
             f"{node.settings.instance_id} zone {node.settings.zone} "
--- a/src/magnoliapitch/job/backlog.py
+++ b/src/magnoliapitch/job/backlog.py
@@ -24,113 +24,122 @@
     from magnoliapitch.journal.state import JobRecord
 
 
-TASKS_PER_STEP = 2_000
-RETRY_MIN_MS = 500
-RETRY_MAX_MS = 60_000
-MISSING_ENTRY_RETRY_MS = 1_000
+MAX_TASKS_PER_STEP = 2_000
+RETRY_DELAY_MIN_MS = 500
+RETRY_DELAY_MAX_MS = 60_000
+MISSING_ENTRY_RETRY_DELAY_MS = 1_000
 
 
 class Backlog:
     """Turns jobs into task requests, a bounded number at a time."""
 
     def __init__(self) -> None:
-        self._requests_by_job: dict[str, dict[int, TaskRequest]] = {}
-        self._jobs: deque[tuple[str, int]] = deque()
-        self._retries: list[tuple[int, TaskKey]] = []
+        self._submitted_by_job: dict[str, dict[int, TaskRequest]] = {}
+        self._unsubmitted_jobs: deque[tuple[str, int]] = deque()
+        self._scheduled_tasks: list[tuple[int, TaskKey]] = []
 
     def add_job(self, job_id: str) -> None:
         """Hand over every unfinished task of a job."""
-        self._jobs.append((job_id, 0))
+        self._unsubmitted_jobs.append((job_id, 0))
 
     def add_task(self, key: TaskKey, due_ms: int) -> None:
         """Hand over one task when it is due."""
-        heapq.heappush(self._retries, (due_ms, key))
+        heapq.heappush(self._scheduled_tasks, (due_ms, key))
 
     def retry(self, key: TaskKey, job: JobRecord, now_ms: int) -> None:
         """Hand over a task again, later after each failure."""
         delay_ms = 0
         if job.ended_by_task.get(key.task) is TaskOutcome.FAILED:
-            failures = min(job.attempts_by_task.get(key.task, 1), 16)
-            delay_ms = min(RETRY_MIN_MS << (failures - 1), RETRY_MAX_MS)
+            attempt_count = min(job.attempts_by_task.get(key.task, 1), 16)
+            delay_ms = min(
+                RETRY_DELAY_MIN_MS << (attempt_count - 1), RETRY_DELAY_MAX_MS
+            )
         self.add_task(key, now_ms + delay_ms)
 
     def forget_job(self, job_id: str) -> None:
         """Drop what the scheduler has been told to drop."""
-        self._requests_by_job.pop(job_id, None)
+        self._submitted_by_job.pop(job_id, None)
 
     def pop(self, key: TaskKey) -> TaskRequest | None:
         """Return and remove a task that the scheduler has placed."""
-        requests_by_number = self._requests_by_job.get(key.job_id)
-        if requests_by_number is None:
+        request_by_task = self._submitted_by_job.get(key.job_id)
+        if request_by_task is None:
             return None
-        request = requests_by_number.pop(key.task, None)
-        if not requests_by_number:
-            del self._requests_by_job[key.job_id]
+        request = request_by_task.pop(key.task, None)
+        if not request_by_task:
+            del self._submitted_by_job[key.job_id]
         return request
 
-    def put_back(self, key: TaskKey, request: TaskRequest) -> None:
+    def record_submitted(self, key: TaskKey, request: TaskRequest) -> None:
         """Keep a task that was placed but not started."""
-        requests_by_number = self._requests_by_job.setdefault(key.job_id, {})
-        requests_by_number[key.task] = request
+        request_by_task = self._submitted_by_job.setdefault(key.job_id, {})
+        request_by_task[key.task] = request
 
     def is_queued(self, key: TaskKey) -> bool:
         """Return whether the scheduler has the task in its queue."""
-        return key.task in self._requests_by_job.get(key.job_id, {})
+        return key.task in self._submitted_by_job.get(key.job_id, {})
 
-    def take(
+    def take_due_requests(
         self,
         state: ClusterState,
-        startable_units: Collection[str],
-        active: Container[TaskKey],
+        owned_units: Collection[str],
+        active_tasks: Container[TaskKey],
         now_ms: int,
     ) -> tuple[TaskRequest, ...]:
         """Return tasks to submit now.
 
-        :param startable_units: owned units.
-        :param active: tasks with an attempt that has not surely ended.
+        :param owned_units: owned units.
+        :param active_tasks: tasks with an attempt that has not surely ended.
         """
-        ready: dict[str, list[TaskKey]] = {}
-        for key in dict.fromkeys(self._due(state, now_ms)):
+        ready_by_job: dict[str, list[TaskKey]] = {}
+        for key in dict.fromkeys(self._pop_due(state, now_ms)):
             job = state.jobs_by_id.get(key.job_id)
-            if job is None or job.is_done or job.unit not in startable_units:
+            if job is None or job.is_done or job.unit not in owned_units:
                 continue
-            if key in active or self.is_queued(key):
+            if key in active_tasks or self.is_queued(key):
                 continue
             if job.ended_by_task.get(key.task) is TaskOutcome.FINISHED:
                 continue
-            ready.setdefault(key.job_id, []).append(key)
+            ready_by_job.setdefault(key.job_id, []).append(key)
         requests: list[TaskRequest] = []
-        for job_id, keys in ready.items():
+        for job_id, keys in ready_by_job.items():
             job = state.jobs_by_id[job_id]
-            requests += self._requests(state, job, keys, active, now_ms)
+            requests += self._make_requests(
+                state, job, keys, active_tasks, now_ms
+            )
         return tuple(requests)
 
-    def _requests(
+    def _make_requests(
         self,
         state: ClusterState,
         job: JobRecord,
         keys: list[TaskKey],
-        active: Container[TaskKey],
+        active_tasks: Container[TaskKey],
         now_ms: int,
     ) -> list[TaskRequest]:
         """Return the requests of one job's tasks, and keep them."""
-        versioned = state.catalogue_by_name.get(job.spec.entry)
-        if versioned is None:
+        versioned_entry = state.catalogue_by_name.get(job.spec.entry)
+        if versioned_entry is None:
             for key in keys:
-                self.add_task(key, now_ms + MISSING_ENTRY_RETRY_MS)
+                self.add_task(key, now_ms + MISSING_ENTRY_RETRY_DELAY_MS)
             return []
         gang_size = 1
-        if versioned.entry.work_class is WorkClass.GANG:
-            gang_size = self._gang_size(job, len(keys), active)
+        if versioned_entry.entry.work_class is WorkClass.GANG:
+            gang_size = self._gang_size(job, len(keys), active_tasks)
         requests = []
         for key in keys:
-            request = _request(versioned.entry, job, key, now_ms, gang_size)
-            self.put_back(key, request)
+            request = _make_request(
+                versioned_entry.entry, job, key, now_ms, gang_size
+            )
+            self.record_submitted(key, request)
             requests.append(request)
         return requests
 
     def _gang_size(
-        self, job: JobRecord, ready: int, active: Container[TaskKey]
+        self,
+        job: JobRecord,
+        ready_count: int,
+        active_tasks: Container[TaskKey],
     ) -> int:
         """Return how many tasks of a gang start together.
 
@@ -139,29 +148,32 @@
         """
         job_id = job.spec.job_id
         has_started = bool(job.attempts_by_task) or any(
-            TaskKey(job_id, task) in active for task in range(job.spec.tasks)
+            TaskKey(job_id, task) in active_tasks
+            for task in range(job.spec.tasks)
         )
         if not has_started:
             return job.spec.tasks
-        return len(self._requests_by_job.get(job_id, {})) + ready
-
-    def _due(self, state: ClusterState, now_ms: int) -> list[TaskKey]:
-        due: list[TaskKey] = []
-        while self._retries and self._retries[0][0] <= now_ms:
-            due.append(heapq.heappop(self._retries)[1])
-        while self._jobs and len(due) < TASKS_PER_STEP:
-            job_id, first = self._jobs.popleft()
+        return len(self._submitted_by_job.get(job_id, {})) + ready_count
+
+    def _pop_due(self, state: ClusterState, now_ms: int) -> list[TaskKey]:
+        due_keys: list[TaskKey] = []
+        while self._scheduled_tasks and self._scheduled_tasks[0][0] <= now_ms:
+            due_keys.append(heapq.heappop(self._scheduled_tasks)[1])
+        while self._unsubmitted_jobs and len(due_keys) < MAX_TASKS_PER_STEP:
+            job_id, first = self._unsubmitted_jobs.popleft()
             job = state.jobs_by_id.get(job_id)
             if job is None:
                 continue
-            last = min(first + TASKS_PER_STEP - len(due), job.spec.tasks)
-            due += [TaskKey(job_id, task) for task in range(first, last)]
-            if last < job.spec.tasks:
-                self._jobs.appendleft((job_id, last))
-        return due
+            end = min(
+                first + MAX_TASKS_PER_STEP - len(due_keys), job.spec.tasks
+            )
+            due_keys += [TaskKey(job_id, task) for task in range(first, end)]
+            if end < job.spec.tasks:
+                self._unsubmitted_jobs.appendleft((job_id, end))
+        return due_keys
 
 
-def _request(
+def _make_request(
     entry: CatalogueEntry,
     job: JobRecord,
     key: TaskKey,
--- a/src/magnoliapitch/job/call.py
+++ b/src/magnoliapitch/job/call.py
@@ -14,7 +14,7 @@
     from magnoliapitch.worker.runner import WorkerOutcome
 
 
-def perform(
+def perform_call(
     workers: WorkerPool, worker: InstanceInfo, call: PlannedCall
 ) -> WorkerOutcome:
     """Make a planned call; runs in any thread."""
--- a/src/magnoliapitch/job/channel.py
+++ b/src/magnoliapitch/job/channel.py
@@ -19,12 +19,12 @@
     from magnoliapitch.membership.instance import InstanceInfo
 
 
-POLL_BUSY_MS = 250
-POLL_IDLE_MS = 1_000
-RETRY_MIN_MS = 250
-RETRY_MAX_MS = 4_000
+BUSY_POLL_INTERVAL_MS = 250
+IDLE_POLL_INTERVAL_MS = 1_000
+RETRY_DELAY_MIN_MS = 250
+RETRY_DELAY_MAX_MS = 4_000
 RENEWALS_PER_TTL = 3
-JITTER_STEPS = 16
+JITTER_STEP_COUNT = 16
 
 
 class CallKind(StrEnum):
@@ -67,27 +67,27 @@
         self,
         worker: InstanceInfo,
         fence: WorkerFence,
-        holds: Callable[[str, int], bool],
+        may_keep_tasks: Callable[[str, int], bool],
     ) -> None:
         self.worker = worker
-        self._holds = holds
+        self._may_keep_tasks = may_keep_tasks
         self.fence = fence
         self.attempts_by_lease: dict[str, Attempt] = {}
-        self.starts: dict[str, None] = {}
-        self.stops: dict[str, None] = {}
-        self.checkpoints: dict[str, None] = {}
-        self.throttles_by_lease: dict[str, int] = {}
+        self.pending_starts: dict[str, None] = {}
+        self.pending_stops: dict[str, None] = {}
+        self.pending_checkpoints: dict[str, None] = {}
+        self.pending_throttles_by_lease: dict[str, int] = {}
         self.in_flight: PlannedCall | None = None
-        self.failures = 0
+        self.consecutive_failures = 0
         self._next_poll_ms = 0
         self._next_renewal_ms = 0
 
     @property
     def accepts_starts(self) -> bool:
         """Whether tasks can be placed here now."""
-        return self.fence.is_open and not self.failures
+        return self.fence.is_open and not self.consecutive_failures
 
-    def plan(
+    def plan_call(
         self, now_ms: int, confirmed_ms: int | None
     ) -> PlannedCall | None:
         """Return the next call, if one is due.
@@ -96,14 +96,14 @@
         """
         if self.in_flight is not None:
             return None
-        if self.failures and now_ms < self._next_poll_ms:
+        if self.consecutive_failures and now_ms < self._next_poll_ms:
             return None
-        if self.failures or self.fence.view is None:
+        if self.consecutive_failures or self.fence.view is None:
             return PlannedCall(CallKind.VIEW)
         if self.fence.may_place_claim(confirmed_ms):
             self.fence, grant = self.fence.place_claim()
             return PlannedCall(CallKind.CLAIM, grants=(grant,))
-        planned = self._plan_changes()
+        planned = self._plan_pending()
         if planned is not None:
             return planned
         if self.fence.claim is not None and now_ms >= self._next_renewal_ms:
@@ -112,46 +112,54 @@
             return PlannedCall(CallKind.VIEW)
         return None
 
-    def answered(self, now_ms: int) -> None:
+    def record_reply(self, now_ms: int) -> None:
         """Note that a call was answered."""
         self.in_flight = None
-        self.failures = 0
-        busy = bool(self.attempts_by_lease) or not self.fence.is_open
-        self._next_poll_ms = now_ms + (POLL_BUSY_MS if busy else POLL_IDLE_MS)
+        self.consecutive_failures = 0
+        is_busy = bool(self.attempts_by_lease) or not self.fence.is_open
+        self._next_poll_ms = now_ms + (
+            BUSY_POLL_INTERVAL_MS if is_busy else IDLE_POLL_INTERVAL_MS
+        )
 
-    def failed(self, now_ms: int) -> None:
+    def record_failure(self, now_ms: int) -> None:
         """Note that a call failed; the worker is polled ever less often."""
         self.in_flight = None
-        delay_ms = min(RETRY_MIN_MS << min(self.failures, 8), RETRY_MAX_MS)
-        self.failures += 1
+        delay_ms = min(
+            RETRY_DELAY_MIN_MS << min(self.consecutive_failures, 8),
+            RETRY_DELAY_MAX_MS,
+        )
+        self.consecutive_failures += 1
         self._next_poll_ms = now_ms + delay_ms
         self._next_renewal_ms = now_ms
 
-    def _plan_changes(self) -> PlannedCall | None:
-        if self.stops:
-            lease_ids, self.stops = tuple(self.stops), {}
+    def _plan_pending(self) -> PlannedCall | None:
+        if self.pending_stops:
+            lease_ids, self.pending_stops = tuple(self.pending_stops), {}
             return PlannedCall(CallKind.STOP, lease_ids)
-        if self.checkpoints:
-            lease_ids, self.checkpoints = tuple(self.checkpoints), {}
+        if self.pending_checkpoints:
+            lease_ids, self.pending_checkpoints = (
+                tuple(self.pending_checkpoints),
+                {},
+            )
             return PlannedCall(CallKind.CHECKPOINT, lease_ids)
-        if self.throttles_by_lease:
-            lease_id, cpu_millis = self.throttles_by_lease.popitem()
+        if self.pending_throttles_by_lease:
+            lease_id, cpu_millis = self.pending_throttles_by_lease.popitem()
             return PlannedCall(
                 CallKind.THROTTLE, (lease_id,), cpu_millis=cpu_millis
             )
-        if self.starts and self.accepts_starts:
-            return self._plan_start()
+        if self.pending_starts and self.accepts_starts:
+            return self._plan_starts()
         return None
 
-    def _plan_start(self) -> PlannedCall:
-        lease_ids, self.starts = tuple(self.starts), {}
+    def _plan_starts(self) -> PlannedCall:
+        lease_ids, self.pending_starts = tuple(self.pending_starts), {}
         grants = tuple(
-            self._grant(self.attempts_by_lease[lease_id])
+            self._make_grant(self.attempts_by_lease[lease_id])
             for lease_id in lease_ids
         )
         return PlannedCall(CallKind.START, lease_ids, grants)
 
-    def _grant(self, attempt: Attempt) -> LeaseGrant:
+    def _make_grant(self, attempt: Attempt) -> LeaseGrant:
         view = self.fence.view
         boot_id = view.boot_id if view else ""
         attempt.mark_sent(boot_id, self.fence.grant_expiry_ms())
@@ -174,7 +182,7 @@
         expires_at_ms = self.fence.renewal_expiry_ms()
         lease_ids = [claim.lease_id]
         for lease_id, attempt in self.attempts_by_lease.items():
-            if not self._holds(attempt.task.entry, now_ms):
+            if not self._may_keep_tasks(attempt.task.entry, now_ms):
                 continue
             if attempt.state in (AttemptState.LISTED, AttemptState.ENDED):
                 attempt.extend(expires_at_ms)
@@ -185,5 +193,5 @@
 
     def _jitter_ms(self) -> int:
         interval_ms = self.fence.ttl_ms // RENEWALS_PER_TTL
-        spread = sum(self.worker.instance_id.encode()) % JITTER_STEPS
-        return interval_ms * spread // (4 * JITTER_STEPS)
+        jitter_step = sum(self.worker.instance_id.encode()) % JITTER_STEP_COUNT
+        return interval_ms * jitter_step // (4 * JITTER_STEP_COUNT)
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -14,7 +14,7 @@
 from magnoliapitch.job.attempt import Attempt
 from magnoliapitch.job.attempt import TaskKey
 from magnoliapitch.job.backlog import Backlog
-from magnoliapitch.job.call import perform
+from magnoliapitch.job.call import perform_call
 from magnoliapitch.job.channel import CallKind
 from magnoliapitch.job.channel import WorkerChannel
 from magnoliapitch.job.spec import parse_lease_id
@@ -49,7 +49,7 @@
     from magnoliapitch.worker.pool import WorkerPool
 
 
-DECISIONS_PER_STEP = 16
+MAX_DECISIONS_PER_STEP = 16
 STEP_INTERVAL_MS = 50
 
 
@@ -68,7 +68,7 @@
         workers: WorkerPool,
         scheduler: Scheduler,
         clock: Clock,
-        hold: PresenceLease,
+        presence_lease: PresenceLease,
         runner: CallRunner | None = None,
         lease_ttl_ms: int = LEASE_TTL_MAX_MS,
         metrics: Metrics | None = None,
@@ -84,9 +84,9 @@
         self._units_by_name: dict[str, OwnedUnit] = {}
         self._channels_by_worker: dict[str, WorkerChannel] = {}
         self._backlog = Backlog()
-        self._holds = hold.may_keep_tasks
+        self._may_keep_tasks = presence_lease.may_keep_tasks
         self._tracker = AttemptTracker(
-            journal, scheduler, self._backlog, hold, clock
+            journal, scheduler, self._backlog, presence_lease, clock
         )
         self._state: ClusterState | None = None
         self._catalogue_offset = -1
@@ -126,66 +126,68 @@
     def _step(self) -> None:
         now_ms = self._clock.now_ms()
         for reply in self._runner.replies():
-            self._observe(reply, now_ms)
-        self._follow_units()
-        self._follow_workers()
+            self._process_reply(reply, now_ms)
+        self._update_units()
+        self._add_new_workers()
         self._settle_units(now_ms)
-        self._follow_jobs(now_ms)
-        self._tracker.end_unreachable(self._channels_by_worker, now_ms)
+        self._apply_job_changes(now_ms)
+        self._tracker.end_expired_unreachable(self._channels_by_worker, now_ms)
         self._decide(now_ms)
         for channel in self._channels_by_worker.values():
-            self._dispatch(channel, now_ms)
+            self._submit_next_call(channel, now_ms)
         self._release_units()
 
     def _decide(self, now_ms: int) -> None:
-        for _ in range(DECISIONS_PER_STEP):
+        for _ in range(MAX_DECISIONS_PER_STEP):
             with self._metrics.timing("decision"):
                 decision = self._scheduler.decide(now_ms)
-            self._place(decision.placements, now_ms)
-            self._evict(decision.evictions)
+            self._apply_placements(decision.placements, now_ms)
+            self._apply_evictions(decision.evictions)
             if not decision.has_more:
                 break
 
-    def _observe(self, reply: WorkerReply, now_ms: int) -> None:
+    def _process_reply(self, reply: WorkerReply, now_ms: int) -> None:
         channel = self._channels_by_worker.get(reply.worker_id)
         if channel is None or channel.in_flight is None:
             return
         call = channel.in_flight
         if isinstance(reply.outcome, Err):
-            channel.failed(now_ms)
+            channel.record_failure(now_ms)
             if call.kind is CallKind.START:
-                certain = reply.outcome.err_value.verdict is Verdict.NOT_RUN
-                self._tracker.start_failed(channel, call, certain, now_ms)
+                is_not_run = reply.outcome.err_value.verdict is Verdict.NOT_RUN
+                self._tracker.record_failed_start(
+                    channel, call, is_not_run, now_ms
+                )
         else:
             view = reply.outcome.ok_value
             channel.fence = channel.fence.observe(view, now_ms)
             self._tracker.observe(channel, view, now_ms)
-            channel.answered(now_ms)
-        self._set_withheld(channel)
+            channel.record_reply(now_ms)
+        self._update_withheld(channel)
 
-    def _set_withheld(self, channel: WorkerChannel) -> None:
+    def _update_withheld(self, channel: WorkerChannel) -> None:
         worker = channel.worker
-        releasing = self._is_releasing(channel)
-        usable = channel.accepts_starts and not releasing
+        is_releasing = self._is_releasing(channel)
+        is_usable = channel.accepts_starts and not is_releasing
         self._scheduler.set_withheld(
-            worker.instance_id, NO_RESOURCES if usable else worker.capacity
+            worker.instance_id, NO_RESOURCES if is_usable else worker.capacity
         )
         unit = self._units_by_name.get(worker.unit)
         if unit is not None and channel.fence.is_open:
-            unit.note_open(worker.instance_id)
+            unit.mark_worker_open(worker.instance_id)
 
-    def _follow_units(self) -> None:
+    def _update_units(self) -> None:
         claims = self._claimer.owned_claims()
         for name, unit in list(self._units_by_name.items()):
             claim = claims.get(name)
             if claim is None or claim.epoch != unit.claim.epoch:
                 epoch = unit.claim.epoch
                 log_event("unit-lost", unit=name, epoch=epoch)
-                self._lose(name)
+                self._drop_unit(name)
             elif self._claimer.is_releasing(name) and not unit.is_releasing:
                 unit.is_releasing = True
                 for channel in self._channels_by_worker.values():
-                    self._set_withheld(channel)
+                    self._update_withheld(channel)
         for name, claim in claims.items():
             if name in self._units_by_name:
                 continue
@@ -202,7 +204,7 @@
             for job in jobs:
                 self._admit(job)
 
-    def _lose(self, name: str) -> None:
+    def _drop_unit(self, name: str) -> None:
         unit = self._units_by_name.pop(name)
         for worker_id, channel in list(self._channels_by_worker.items()):
             if channel.worker.unit == name:
@@ -213,7 +215,7 @@
 
     def _drop_channel(self, worker_id: str) -> None:
         channel = self._channels_by_worker.pop(worker_id)
-        self._tracker.forget_channel(channel, self._clock.now_ms())
+        self._tracker.remove_channel(channel, self._clock.now_ms())
         self._scheduler.remove_worker(worker_id)
 
     def _release_units(self) -> None:
@@ -226,25 +228,25 @@
                 for channel in self._channels_by_worker.values()
                 if channel.worker.unit == name
             ]
-            if channels and all(map(self._is_quiet, channels)):
+            if channels and all(map(self._has_no_grant_in_flight, channels)):
                 self._claimer.release(name)
 
     def _is_releasing(self, channel: WorkerChannel) -> bool:
         unit = self._units_by_name.get(channel.worker.unit)
         return unit is None or unit.is_releasing
 
-    def _is_quiet(self, channel: WorkerChannel) -> bool:
+    def _has_no_grant_in_flight(self, channel: WorkerChannel) -> bool:
         call = channel.in_flight
-        sends = call is not None and bool(call.grants)
-        if sends or not channel.fence.is_open or channel.starts:
+        sends_grants = call is not None and bool(call.grants)
+        if sends_grants or not channel.fence.is_open or channel.pending_starts:
             return False
-        return not self._tracker.is_unsure(channel)
+        return not self._tracker.has_unconfirmed_grant(channel)
 
-    def _follow_workers(self) -> None:
+    def _add_new_workers(self) -> None:
         for worker in self._fleet.of_role(InstanceRole.WORKER):
             unit = self._units_by_name.get(worker.unit)
-            known = worker.instance_id in self._channels_by_worker
-            if unit is None or known:
+            is_known = worker.instance_id in self._channels_by_worker
+            if unit is None or is_known:
                 continue
             self._add_channel(worker, unit)
 
@@ -252,14 +254,14 @@
         fence = WorkerFence(
             unit.owner, self._ttl_ms, self._workers.fences_epochs
         )
-        channel = WorkerChannel(worker, fence, self._holds)
+        channel = WorkerChannel(worker, fence, self._may_keep_tasks)
         self._channels_by_worker[worker.instance_id] = channel
         self._scheduler.add_worker(
             WorkerShape(
                 worker.instance_id, worker.unit, worker.zone, worker.capacity
             )
         )
-        self._set_withheld(channel)
+        self._update_withheld(channel)
 
     def _settle_units(self, now_ms: int) -> None:
         for name, unit in self._units_by_name.items():
@@ -270,17 +272,19 @@
                 for worker in self._fleet.of_role(InstanceRole.WORKER)
                 if worker.unit == name
             ]
-            stopped_ms = self._claimer.predecessors_stopped_at_ms(name)
-            for job_id in unit.settle(worker_ids, stopped_ms, now_ms):
+            stopped_since_ms = self._claimer.predecessors_stopped_at_ms(name)
+            for job_id in unit.try_settle(
+                worker_ids, stopped_since_ms, now_ms
+            ):
                 self._backlog.add_job(job_id)
 
-    def _follow_jobs(self, now_ms: int) -> None:
+    def _apply_job_changes(self, now_ms: int) -> None:
         with self._journal.reading() as state:
             if state is not self._state:
                 self._state = state
-                self._admit_all(state)
+                self._admit_unfinished(state)
             for change in self._journal.take_job_changes():
-                self._follow_change(state, change, now_ms)
+                self._apply_change(state, change, now_ms)
             if state.next_offset != self._catalogue_offset:
                 self._catalogue_offset = state.next_offset
                 self._scheduler.set_catalogue(
@@ -289,13 +293,13 @@
                         for name, versioned in state.catalogue_by_name.items()
                     }
                 )
-            requests = self._backlog.take(
+            requests = self._backlog.take_due_requests(
                 state, self._units_by_name, self._tracker, now_ms
             )
         if requests:
             self._scheduler.submit(requests)
 
-    def _admit_all(self, state: ClusterState) -> None:
+    def _admit_unfinished(self, state: ClusterState) -> None:
         for job in state.jobs_by_id.values():
             if not job.is_done:
                 self._admit(job)
@@ -305,36 +309,44 @@
         if unit is not None and unit.admit(job):
             self._backlog.add_job(job.spec.job_id)
 
-    def _follow_change(
+    def _apply_change(
         self, state: ClusterState, change: ChangedTask, now_ms: int
     ) -> None:
         job = state.jobs_by_id.get(change.job_id)
         if change.task < 0:
-            self._follow_job(change.job_id, job)
+            self._update_job(change.job_id, job)
         if job is None:
             return
         if change.task >= 0:
             key = TaskKey(change.job_id, change.task)
             unit = self._units_by_name.get(job.unit)
-            held = unit is not None and unit.holds(change.job_id)
-            self._tracker.follow_end(
-                self._channels_by_worker, key, job, now_ms, held=held
+            is_waiting = unit is not None and unit.is_waiting(change.job_id)
+            self._tracker.apply_recorded_end(
+                self._channels_by_worker,
+                key,
+                job,
+                now_ms,
+                is_waiting=is_waiting,
             )
         if job.is_done and job.unit in self._units_by_name:
-            self._units_by_name[job.unit].drop(change.job_id)
+            self._units_by_name[job.unit].remove_job(change.job_id)
 
-    def _follow_job(self, job_id: str, job: JobRecord | None) -> None:
-        current = job.unit if job and not job.is_done else ""
+    def _update_job(self, job_id: str, job: JobRecord | None) -> None:
+        current_unit = job.unit if job and not job.is_done else ""
         for name, unit in self._units_by_name.items():
-            if name != current and job_id in unit.job_ids:
-                unit.drop(job_id)
-                running = self._scheduler.cancel(job_id)
+            if name != current_unit and job_id in unit.job_ids:
+                unit.remove_job(job_id)
+                lease_ids = self._scheduler.cancel(job_id)
                 self._backlog.forget_job(job_id)
-                self._tracker.stop(self._channels_by_worker, running)
+                self._tracker.request_stops(
+                    self._channels_by_worker, lease_ids
+                )
         if job is not None and not job.is_done:
             self._admit(job)
 
-    def _place(self, placements: tuple[Placement, ...], now_ms: int) -> None:
+    def _apply_placements(
+        self, placements: tuple[Placement, ...], now_ms: int
+    ) -> None:
         for placement in placements:
             name = parse_lease_id(placement.task_id)
             channel = self._channels_by_worker.get(placement.worker_id)
@@ -354,37 +366,39 @@
             self._tracker.add(channel, attempt)
             waited_ms = now_ms - task.submitted_ms
             self._metrics.observe("task_wait", waited_ms, task.work_class)
-            releasing = self._is_releasing(channel)
-            if channel.accepts_starts and not releasing:
-                channel.starts[task.task_id] = None
+            is_releasing = self._is_releasing(channel)
+            if channel.accepts_starts and not is_releasing:
+                channel.pending_starts[task.task_id] = None
             else:
-                self._tracker.take_back(channel, attempt, now_ms)
+                self._tracker.requeue(channel, attempt, now_ms)
 
     def _payload(self, job_id: str) -> str:
         with self._journal.reading() as state:
             job = state.jobs_by_id.get(job_id)
             return job.spec.payload if job else ""
 
-    def _evict(self, evictions: tuple[Eviction, ...]) -> None:
+    def _apply_evictions(self, evictions: tuple[Eviction, ...]) -> None:
         for eviction in evictions:
             channel = self._channels_by_worker.get(eviction.worker_id)
             if channel is None:
                 continue
             if eviction.action is EvictionAction.THROTTLE:
-                channel.throttles_by_lease[eviction.task_id] = (
+                channel.pending_throttles_by_lease[eviction.task_id] = (
                     eviction.cpu_millis
                 )
             elif eviction.action is EvictionAction.CHECKPOINT:
-                channel.checkpoints[eviction.task_id] = None
+                channel.pending_checkpoints[eviction.task_id] = None
             else:
-                channel.stops[eviction.task_id] = None
-
-    def _dispatch(self, channel: WorkerChannel, now_ms: int) -> None:
-        releasing = self._is_releasing(channel)
-        if channel.starts and (releasing or not channel.accepts_starts):
-            self._tracker.take_back_all(channel, now_ms)
-        self._tracker.take_back_unheld(channel, now_ms)
-        call = channel.plan(now_ms, self._journal.last_read_ms)
+                channel.pending_stops[eviction.task_id] = None
+
+    def _submit_next_call(self, channel: WorkerChannel, now_ms: int) -> None:
+        is_releasing = self._is_releasing(channel)
+        if channel.pending_starts and (
+            is_releasing or not channel.accepts_starts
+        ):
+            self._tracker.requeue_unsent(channel, now_ms)
+        self._tracker.requeue_without_presence(channel, now_ms)
+        call = channel.plan_call(now_ms, self._journal.last_read_ms)
         if call is None:
             return
         channel.in_flight = call
@@ -392,6 +406,6 @@
         self._runner.submit(
             WorkerCall(
                 worker.instance_id,
-                lambda: perform(self._workers, worker, call),
+                lambda: perform_call(self._workers, worker, call),
             )
         )
--- a/src/magnoliapitch/job/spec.py
+++ b/src/magnoliapitch/job/spec.py
@@ -16,18 +16,18 @@
 
 JOB_ID_PATTERN = r"[A-Za-z0-9._-]{1,128}"
 
-PART_MAX = 10**9
+RESOURCE_AMOUNT_MAX = 10**9
 
 _LEASE_ID = re.compile(rf"({JOB_ID_PATTERN})/([0-9]+)/([0-9]+)")
 
 
-def _check_size(size: Resources) -> Resources:
-    if min(size) < 0 or max(size) > PART_MAX:
-        raise ValueError(f"each part must be from 0 to {PART_MAX}")
-    return size
+def _check_resources(resources: Resources) -> Resources:
+    if min(resources) < 0 or max(resources) > RESOURCE_AMOUNT_MAX:
+        raise ValueError(f"each part must be from 0 to {RESOURCE_AMOUNT_MAX}")
+    return resources
 
 
-TaskSize = Annotated[Resources, AfterValidator(_check_size)]
+TaskResources = Annotated[Resources, AfterValidator(_check_resources)]
 JobId = Annotated[str, Field(pattern=rf"^{JOB_ID_PATTERN}$")]
 
 
@@ -37,7 +37,7 @@
     :param job_id: unique id; submitting the same id again is idempotent.
     :param entry: catalogue entry that the job belongs to.
     :param tasks: number of identical tasks.
-    :param resources: declared size of each task.
+    :param resources: declared resources of each task.
     :param run_ms: declared run time of each task, in milliseconds.
     :param deadline_ms: wanted completion after submission, 0 for none.
     :param payload: opaque input of every task.
@@ -46,7 +46,7 @@
     job_id: JobId
     entry: str
     tasks: Annotated[int, Field(ge=1, le=100_000)]
-    resources: TaskSize
+    resources: TaskResources
     run_ms: Annotated[int, Field(ge=1)] = 60_000
     deadline_ms: Annotated[int, Field(ge=0)] = 0
     payload: str = ""
@@ -76,7 +76,7 @@
 
 def parse_lease_id(lease_id: str) -> AttemptName | None:
     """Return the attempt that a lease id names, if it names one."""
-    found = _LEASE_ID.fullmatch(lease_id)
-    if found is None:
+    match = _LEASE_ID.fullmatch(lease_id)
+    if match is None:
         return None
-    return AttemptName(found[1], int(found[2]), int(found[3]))
+    return AttemptName(match[1], int(match[2]), int(match[3]))
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -35,14 +35,14 @@
     from magnoliapitch.ownership.presence_lease import PresenceLease
 
 
-UNHELD_RETRY_MS = 1_000
+NO_PRESENCE_RETRY_DELAY_MS = 1_000
 
 
 class AttemptTracker:
     """Knows every attempt that may run or whose end is not recorded.
 
     The next attempt of a task is only handed over once every earlier one
-    has surely ended and the fold has counted its end.
+    has surely ended and the fold has recorded_attempts its end.
     """
 
     def __init__(
@@ -50,16 +50,16 @@
         journal: Journal,
         scheduler: Scheduler,
         backlog: Backlog,
-        hold: PresenceLease,
+        presence_lease: PresenceLease,
         clock: Clock,
     ) -> None:
         self._journal = journal
-        self._hold = hold
+        self._presence_lease = presence_lease
         self._clock = clock
         self._scheduler = scheduler
         self._backlog = backlog
         self._attempts_by_task: dict[TaskKey, dict[int, Attempt]] = {}
-        self._ends_by_task: dict[TaskKey, Pending] = {}
+        self._pending_ends_by_task: dict[TaskKey, Pending] = {}
 
     def __contains__(self, key: object) -> bool:
         return key in self._attempts_by_task
@@ -68,17 +68,17 @@
         """Return the lease ids of all attempts."""
         return tuple(
             attempt.task.task_id
-            for attempts_by_number in self._attempts_by_task.values()
-            for attempt in attempts_by_number.values()
+            for attempt_by_number in self._attempts_by_task.values()
+            for attempt in attempt_by_number.values()
         )
 
     def add(self, channel: WorkerChannel, attempt: Attempt) -> None:
         """Track an attempt on a worker."""
-        attempts_by_number = self._attempts_by_task.setdefault(attempt.key, {})
-        attempts_by_number[attempt.name.attempt] = attempt
+        attempt_by_number = self._attempts_by_task.setdefault(attempt.key, {})
+        attempt_by_number[attempt.name.attempt] = attempt
         channel.attempts_by_lease[attempt.task.task_id] = attempt
 
-    def is_unsure(self, channel: WorkerChannel) -> bool:
+    def has_unconfirmed_grant(self, channel: WorkerChannel) -> bool:
         """Return whether a grant may still arrive at a worker."""
         return any(
             attempt.state in (AttemptState.PLACED, AttemptState.SENT)
@@ -89,84 +89,91 @@
         self, channel: WorkerChannel, view: WorkerView, now_ms: int
     ) -> None:
         """Compare a worker's view with the attempts on it."""
-        listed = {
+        leases_by_id = {
             lease.lease_id: lease
             for lease in view.leases
             if lease.kind is LeaseKind.TASK
         }
         for lease_id, attempt in list(channel.attempts_by_lease.items()):
-            lease = listed.get(lease_id)
+            lease = leases_by_id.get(lease_id)
             if lease is not None:
                 self._observe_listed(channel, attempt, lease, now_ms)
             else:
                 self._observe_absent(channel, attempt, view, now_ms)
         if channel.fence.phase is FencePhase.YIELDED:
             return
-        for lease_id, lease in listed.items():
+        for lease_id, lease in leases_by_id.items():
             if lease_id not in channel.attempts_by_lease:
-                self._adopt(channel, lease, now_ms)
+                self._adopt_lease(channel, lease, now_ms)
 
-    def start_failed(
+    def record_failed_start(
         self,
         channel: WorkerChannel,
         call: PlannedCall,
-        certain: bool,
+        is_not_run: bool,
         now_ms: int,
     ) -> None:
         """Take back a start that surely did not reach the worker.
 
         Otherwise its attempts count as running until a view shows more.
         """
-        if not certain:
+        if not is_not_run:
             return
         for lease_id in call.lease_ids:
             attempt = channel.attempts_by_lease.get(lease_id)
             if attempt is not None and attempt.state is AttemptState.SENT:
-                self.take_back(channel, attempt, now_ms)
+                self.requeue(channel, attempt, now_ms)
 
-    def take_back_all(self, channel: WorkerChannel, now_ms: int) -> None:
+    def requeue_unsent(self, channel: WorkerChannel, now_ms: int) -> None:
         """Take back every placement that has not been sent."""
-        lease_ids, channel.starts = tuple(channel.starts), {}
+        lease_ids, channel.pending_starts = tuple(channel.pending_starts), {}
         for lease_id in lease_ids:
             attempt = channel.attempts_by_lease.get(lease_id)
             if attempt is not None:
-                self.take_back(channel, attempt, now_ms)
+                self.requeue(channel, attempt, now_ms)
 
-    def take_back_unheld(self, channel: WorkerChannel, now_ms: int) -> None:
+    def requeue_without_presence(
+        self, channel: WorkerChannel, now_ms: int
+    ) -> None:
         """Take back placements that the owner may not grant any more."""
-        for lease_id in tuple(channel.starts):
+        for lease_id in tuple(channel.pending_starts):
             attempt = channel.attempts_by_lease.get(lease_id)
-            if attempt is not None and not self._holds(attempt):
-                self.take_back(channel, attempt, now_ms + UNHELD_RETRY_MS)
+            if attempt is not None and not self._may_keep(attempt):
+                self.requeue(
+                    channel, attempt, now_ms + NO_PRESENCE_RETRY_DELAY_MS
+                )
 
-    def take_back(
+    def requeue(
         self, channel: WorkerChannel, attempt: Attempt, now_ms: int
     ) -> None:
         """Queue an attempt again that surely never started.
 
         :param now_ms: time from which it may be placed.
         """
-        self._forget(channel, attempt)
+        self._remove(channel, attempt)
         lease_id = attempt.task.task_id
         self._scheduler.record_task_end(lease_id, TaskOutcome.LOST, now_ms)
         self._backlog.add_task(attempt.key, now_ms)
 
-    def forget_channel(self, channel: WorkerChannel, now_ms: int) -> None:
+    def remove_channel(self, channel: WorkerChannel, now_ms: int) -> None:
         """Forget the attempts of a worker that is not owned any more."""
         for attempt in list(channel.attempts_by_lease.values()):
-            self._forget(channel, attempt)
+            self._remove(channel, attempt)
             if attempt.state is not AttemptState.ENDED:
                 lease_id = attempt.task.task_id
                 self._scheduler.record_task_end(
                     lease_id, TaskOutcome.LOST, now_ms
                 )
 
-    def end_unreachable(
+    def end_expired_unreachable(
         self, channels_by_worker: Mapping[str, WorkerChannel], now_ms: int
     ) -> None:
         """End attempts whose leases have surely expired out of reach."""
         for channel in channels_by_worker.values():
-            if not channel.failures or not channel.attempts_by_lease:
+            if (
+                not channel.consecutive_failures
+                or not channel.attempts_by_lease
+            ):
                 continue
             for attempt in list(channel.attempts_by_lease.values()):
                 if attempt.state is AttemptState.ENDED:
@@ -177,33 +184,33 @@
                 ):
                     self._end(channel, attempt, TaskOutcome.LOST, now_ms)
 
-    def follow_end(
+    def apply_recorded_end(
         self,
         channels_by_worker: Mapping[str, WorkerChannel],
         key: TaskKey,
         job: JobRecord,
         now_ms: int,
         *,
-        held: bool,
+        is_waiting: bool,
     ) -> None:
         """Act on the recorded end of an attempt.
 
-        :param held: whether the task waits for its rack to settle.
+        :param is_waiting: whether the task waits for its rack to settle.
         """
-        self._ends_by_task.pop(key, None)
-        counted = job.attempts_by_task.get(key.task, 0)
-        attempts_by_number = self._attempts_by_task.get(key, {})
-        for number, attempt in list(attempts_by_number.items()):
+        self._pending_ends_by_task.pop(key, None)
+        recorded_attempts = job.attempts_by_task.get(key.task, 0)
+        attempt_by_number = self._attempts_by_task.get(key, {})
+        for number, attempt in list(attempt_by_number.items()):
             channel = channels_by_worker.get(attempt.worker_id)
-            if channel is None or number >= counted:
+            if channel is None or number >= recorded_attempts:
                 continue
-            channel.stops[attempt.task.task_id] = None
+            channel.pending_stops[attempt.task.task_id] = None
             if attempt.state is AttemptState.ENDED:
-                self._forget(channel, attempt)
-        if key not in self._attempts_by_task and not held:
+                self._remove(channel, attempt)
+        if key not in self._attempts_by_task and not is_waiting:
             self._backlog.retry(key, job, now_ms)
 
-    def stop(
+    def request_stops(
         self,
         channels_by_worker: Mapping[str, WorkerChannel],
         lease_ids: Iterable[str],
@@ -219,7 +226,7 @@
                 continue
             channel = channels_by_worker.get(attempt.worker_id)
             if channel is not None:
-                channel.stops[lease_id] = None
+                channel.pending_stops[lease_id] = None
 
     def _observe_listed(
         self,
@@ -229,7 +236,7 @@
         now_ms: int,
     ) -> None:
         if attempt.state is AttemptState.ENDED:
-            self._repeat_end(channel, attempt)
+            self._record_end(channel, attempt)
             return
         view = channel.fence.view
         boot_id = view.boot_id if view else ""
@@ -251,7 +258,7 @@
         if attempt.state is AttemptState.PLACED:
             return
         if attempt.state is AttemptState.ENDED:
-            self._repeat_end(channel, attempt)
+            self._record_end(channel, attempt)
             return
         may_arrive = (
             attempt.state is AttemptState.SENT
@@ -270,50 +277,52 @@
     ) -> None:
         attempt.mark_ended(outcome)
         self._scheduler.record_task_end(attempt.task.task_id, outcome, now_ms)
-        self._repeat_end(channel, attempt)
+        self._record_end(channel, attempt)
 
-    def _repeat_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        """Record an end until the fold has counted it."""
+    def _record_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
+        """Record an end until the fold has recorded_attempts it."""
         key = attempt.key
         with self._journal.reading() as state:
             job = state.jobs_by_id.get(key.job_id)
-            counted = job.attempts_by_task.get(key.task, 0) if job else 0
+            recorded_attempts = (
+                job.attempts_by_task.get(key.task, 0) if job else 0
+            )
             is_over = (
                 job is None or job.is_done or job.unit != channel.worker.unit
             )
-        if is_over or counted > attempt.name.attempt:
-            channel.stops[attempt.task.task_id] = None
-            self._forget(channel, attempt)
+        if is_over or recorded_attempts > attempt.name.attempt:
+            channel.pending_stops[attempt.task.task_id] = None
+            self._remove(channel, attempt)
             self._backlog.add_task(key, 0)
             return
         if channel.fence.phase is FencePhase.YIELDED:
             return
         is_lost = attempt.outcome is TaskOutcome.LOST
-        if is_lost and not self._holds(attempt):
+        if is_lost and not self._may_keep(attempt):
             return
-        pending = self._ends_by_task.get(key)
+        pending = self._pending_ends_by_task.get(key)
         if pending is not None and pending.outcome is None:
             return
         if attempt.outcome is not None:
-            self._ends_by_task[key] = self._journal.enqueue(
+            self._pending_ends_by_task[key] = self._journal.enqueue(
                 TaskEnd(*attempt.name, attempt.outcome)
             )
 
-    def _holds(self, attempt: Attempt) -> bool:
-        return self._hold.may_keep_tasks(
+    def _may_keep(self, attempt: Attempt) -> bool:
+        return self._presence_lease.may_keep_tasks(
             attempt.task.entry, self._clock.now_ms()
         )
 
-    def _adopt(
+    def _adopt_lease(
         self, channel: WorkerChannel, lease: LeaseView, now_ms: int
     ) -> None:
         name = parse_lease_id(lease.lease_id)
         with self._journal.reading() as state:
             job = state.jobs_by_id.get(name.job_id) if name else None
-            versioned = state.catalogue_by_name.get(lease.entry)
+            versioned_entry = state.catalogue_by_name.get(lease.entry)
         if name is None:
             return
-        entry = versioned.entry if versioned else None
+        entry = versioned_entry.entry if versioned_entry else None
         task = TaskRequest(
             lease.lease_id,
             name.job_id,
@@ -329,16 +338,16 @@
         self.add(channel, attempt)
         self._scheduler.adopt(task, worker_id, lease.resources)
         if _is_obsolete(job, name, channel):
-            channel.stops[lease.lease_id] = None
+            channel.pending_stops[lease.lease_id] = None
         self._observe_listed(channel, attempt, lease, now_ms)
 
-    def _forget(self, channel: WorkerChannel, attempt: Attempt) -> None:
+    def _remove(self, channel: WorkerChannel, attempt: Attempt) -> None:
         channel.attempts_by_lease.pop(attempt.task.task_id, None)
-        channel.starts.pop(attempt.task.task_id, None)
-        attempts_by_number = self._attempts_by_task.get(attempt.key, {})
-        if attempts_by_number.get(attempt.name.attempt) is attempt:
-            del attempts_by_number[attempt.name.attempt]
-        if not attempts_by_number:
+        channel.pending_starts.pop(attempt.task.task_id, None)
+        attempt_by_number = self._attempts_by_task.get(attempt.key, {})
+        if attempt_by_number.get(attempt.name.attempt) is attempt:
+            del attempt_by_number[attempt.name.attempt]
+        if not attempt_by_number:
             self._attempts_by_task.pop(attempt.key, None)
 
 
--- a/src/magnoliapitch/job/unit.py
+++ b/src/magnoliapitch/job/unit.py
@@ -17,7 +17,9 @@
     from magnoliapitch.journal.state import JobRecord
 
 
-SILENCE_MS = LEASE_TTL_MAX_MS + LEASE_TTL_MAX_MS // CLOCK_DRIFT_DIVISOR + 1
+LEASE_EXPIRY_WAIT_MS = (
+    LEASE_TTL_MAX_MS + LEASE_TTL_MAX_MS // CLOCK_DRIFT_DIVISOR + 1
+)
 
 
 class OwnedUnit:
@@ -38,9 +40,11 @@
         self.job_ids: dict[str, None] = {}
         self.is_settled = claim.epoch == FIRST_EPOCH
         self.is_releasing = False
-        self._listed_ms = now_ms + (0 if claim.after_release else SILENCE_MS)
-        self._opened_ids: set[str] = set()
-        self._held_ids: dict[str, None] = {}
+        self._list_complete_at_ms = now_ms + (
+            0 if claim.after_release else LEASE_EXPIRY_WAIT_MS
+        )
+        self._open_worker_ids: set[str] = set()
+        self._waiting_job_ids: dict[str, None] = {}
 
     @property
     def owner(self) -> OwnerClaim:
@@ -49,9 +53,9 @@
             self.claim.incarnation, self.claim.epoch, self.claim.after_release
         )
 
-    def note_open(self, worker_id: str) -> None:
+    def mark_worker_open(self, worker_id: str) -> None:
         """Note that no earlier owner can grant on a worker any more."""
-        self._opened_ids.add(worker_id)
+        self._open_worker_ids.add(worker_id)
 
     def admit(self, job: JobRecord) -> bool:
         """Return whether a job's tasks may be started; else hold it."""
@@ -59,36 +63,44 @@
         self.job_ids[job_id] = None
         if self.is_settled or job.offset > self.claim.offset:
             return True
-        self._held_ids[job_id] = None
+        self._waiting_job_ids[job_id] = None
         return False
 
-    def drop(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Forget a job that has ended or moved away."""
         self.job_ids.pop(job_id, None)
-        self._held_ids.pop(job_id, None)
+        self._waiting_job_ids.pop(job_id, None)
 
-    def holds(self, job_id: str) -> bool:
+    def is_waiting(self, job_id: str) -> bool:
         """Return whether a job waits for the rack to settle."""
-        return job_id in self._held_ids
+        return job_id in self._waiting_job_ids
 
-    def settle(
+    def try_settle(
         self,
         worker_ids: Collection[str],
-        stopped_ms: int | None,
+        stopped_since_ms: int | None,
         now_ms: int,
     ) -> tuple[str, ...]:
-        """Settle if possible; return the jobs that were held.
+        """Settle if possible; return the jobs that were waiting_job_ids.
 
         :param worker_ids: listed workers of the rack.
-        :param stopped_ms: local time since which every earlier owner is
+        :param stopped_since_ms: local time since which every earlier owner is
             known to have stopped.
         """
         if self.is_settled:
             return ()
-        silent = stopped_ms is not None and now_ms > stopped_ms + SILENCE_MS
-        opened = worker_ids and self._opened_ids.issuperset(worker_ids)
-        if not silent and not (opened and now_ms >= self._listed_ms):
+        is_expired = (
+            stopped_since_ms is not None
+            and now_ms > stopped_since_ms + LEASE_EXPIRY_WAIT_MS
+        )
+        are_open = worker_ids and self._open_worker_ids.issuperset(worker_ids)
+        if not is_expired and not (
+            are_open and now_ms >= self._list_complete_at_ms
+        ):
             return ()
         self.is_settled = True
-        held, self._held_ids = tuple(self._held_ids), {}
-        return held
+        waiting_job_ids, self._waiting_job_ids = (
+            tuple(self._waiting_job_ids),
+            {},
+        )
+        return waiting_job_ids
--- a/src/magnoliapitch/standin/audit.py
+++ b/src/magnoliapitch/standin/audit.py
@@ -45,14 +45,14 @@
         outcome = super().start(worker, grants)
         with self._lock:
             self._check_capacity(self.by_id[worker.instance_id])
-            self._check_places()
+            self._check_single_worker()
         return outcome
 
     def problems(self) -> tuple[str, ...]:
         """Return what was broken, without repetition."""
         return tuple(dict.fromkeys(self._problems))
 
-    def used_share(self) -> float:
+    def cpu_share_in_use(self) -> float:
         """Return the share of all processors that tasks use now."""
         with self._lock:
             used = 0
@@ -62,7 +62,7 @@
                 capacity += target.info.capacity.cpu_millis
         return used / capacity
 
-    def running_worker(self) -> str | None:
+    def find_running_worker(self) -> str | None:
         """Return the id of a reachable worker that runs a task."""
         with self._lock:
             for worker_id, target in self.by_id.items():
@@ -76,8 +76,8 @@
             worker_id = target.info.instance_id
             self._problems.append(f"{worker_id} holds {used}")
 
-    def _check_places(self) -> None:
-        workers_by_task: dict[tuple[str, int], str] = {}
+    def _check_single_worker(self) -> None:
+        worker_by_task: dict[tuple[str, int], str] = {}
         for worker_id, target in self.by_id.items():
             for lease in target.view().leases:
                 name = parse_lease_id(lease.lease_id)
@@ -88,9 +88,9 @@
                 ):
                     continue
                 task = (name.job_id, name.task)
-                other = workers_by_task.setdefault(task, worker_id)
-                if other != worker_id:
+                other_id = worker_by_task.setdefault(task, worker_id)
+                if other_id != worker_id:
                     self._problems.append(
-                        f"task {name.task} of {name.job_id} runs on {other} "
+                        f"task {name.task} of {name.job_id} runs on {other_id} "
                         f"and {worker_id}"
                     )
--- a/src/magnoliapitch/standin/backend.py
+++ b/src/magnoliapitch/standin/backend.py
@@ -61,7 +61,7 @@
     :ivar on_send: called with the server's id before each call.
     :ivar observer: called with request id, server id and whether the
         request starts or ends.
-    :ivar most_in_flight_by_server: highest concurrency seen.
+    :ivar max_in_flight_by_server: highest concurrency seen.
     """
 
     def __init__(self, clock: Clock | None = None) -> None:
@@ -72,7 +72,7 @@
         self.on_send: Callable[[str], None] | None = None
         self.observer: Callable[[str, str, bool], None] | None = None
         self.history: list[Execution] = []
-        self.most_in_flight_by_server: dict[str, int] = {}
+        self.max_in_flight_by_server: dict[str, int] = {}
         self._clock = clock or MonotonicClock()
         self._never = threading.Event()
         self._in_flight_by_server: dict[str, int] = {}
@@ -90,23 +90,23 @@
         if self.on_send is not None:
             self.on_send(server_id)
         fault = self._next_fault(server_id)
-        refusal = self._refusal(server_id, fault)
+        refusal = self._find_refusal(server_id, fault)
         if refusal is not None:
             return Err(refusal)
-        self._enter(server_id, request)
+        self._record_start(server_id, request)
         try:
             if self.duration_ms:
                 self._clock.wait(self._never, self.duration_ms)
-            return self._answer(server_id, request, fault)
+            return self._respond(server_id, request, fault)
         finally:
-            self._leave(server_id, request)
+            self._record_end(server_id, request)
 
     def _next_fault(self, server_id: str) -> BackendFault | None:
         with self._lock:
             faults = self.faults_by_server.get(server_id)
             return faults.popleft() if faults else None
 
-    def _refusal(
+    def _find_refusal(
         self, server_id: str, fault: BackendFault | None
     ) -> Failure | None:
         if server_id in self.down or fault is BackendFault.REFUSE_CONNECTION:
@@ -117,7 +117,7 @@
             return not_run(FailureCode.OVERLOADED, "server refused")
         return None
 
-    def _answer(
+    def _respond(
         self,
         server_id: str,
         request: BackendRequest,
@@ -129,35 +129,35 @@
         if fault is BackendFault.TRUNCATE_ANSWER:
             return Err(may_have_run(FailureCode.TRUNCATED, "half an answer"))
         is_leaving = fault is BackendFault.ANNOUNCE_LEAVING
-        body = _answer_body(server_id, request)
+        body = _response_body(server_id, request)
         return Ok(BackendResponse(200, body, is_leaving))
 
-    def _enter(self, server_id: str, request: BackendRequest) -> None:
+    def _record_start(self, server_id: str, request: BackendRequest) -> None:
         with self._lock:
             count = self._in_flight_by_server.get(server_id, 0) + 1
             self._in_flight_by_server[server_id] = count
-            most = self.most_in_flight_by_server.get(server_id, 0)
-            self.most_in_flight_by_server[server_id] = max(most, count)
+            previous_max = self.max_in_flight_by_server.get(server_id, 0)
+            self.max_in_flight_by_server[server_id] = max(previous_max, count)
             self.history.append(
                 Execution(
                     server_id, request.request_id, request.entry, request.body
                 )
             )
-            self._observe(server_id, request, is_start=True)
+            self._notify_observer(server_id, request, is_start=True)
 
-    def _leave(self, server_id: str, request: BackendRequest) -> None:
+    def _record_end(self, server_id: str, request: BackendRequest) -> None:
         with self._lock:
             self._in_flight_by_server[server_id] -= 1
-            self._observe(server_id, request, is_start=False)
+            self._notify_observer(server_id, request, is_start=False)
 
-    def _observe(
+    def _notify_observer(
         self, server_id: str, request: BackendRequest, *, is_start: bool
     ) -> None:
         if self.observer is not None:
             self.observer(request.request_id, server_id, is_start)
 
 
-def _answer_body(server_id: str, request: BackendRequest) -> bytes:
+def _response_body(server_id: str, request: BackendRequest) -> bytes:
     return orjson.dumps(
         {
             "request_id": request.request_id,
--- a/src/magnoliapitch/standin/caller.py
+++ b/src/magnoliapitch/standin/caller.py
@@ -18,29 +18,29 @@
     from magnoliapitch.standin.deployment import RequestPlan
 
 
-CALLERS = 16
-ATTEMPTS_MAX = 40
-RETRY_S = 0.05
+CALLER_COUNT = 16
+MAX_ATTEMPTS = 40
+RETRY_DELAY_S = 0.05
 TIMEOUT_S = 30
 REQUEST_ID_HEADER = "X-Request-Id"
 
 
-class Exchange(NamedTuple):
+class RequestOutcome(NamedTuple):
     """What became of one small request.
 
     :param request_id: id of the request; an attempt adds its number.
-    :param answered: whether the complete own answer came.
-    :param refused_ids: ids of attempts with the verdict ``not_run``.
-    :param doubtful: whether an attempt ended as ``may_have_run``.
-    :param problem: what was wrong with an answer, or empty.
-    :param elapsed_ms: time until the answer, with every attempt.
+    :param answered: whether the complete own response came.
+    :param not_run_ids: ids of attempts with the verdict ``not_run``.
+    :param may_have_run: whether an attempt ended as ``may_have_run``.
+    :param problem: what was wrong with an response, or empty.
+    :param elapsed_ms: time until the response, with every attempt.
     """
 
     request_id: str
     entry: str
     answered: bool
-    refused_ids: tuple[str, ...]
-    doubtful: bool
+    not_run_ids: tuple[str, ...]
+    may_have_run: bool
     problem: str
     elapsed_ms: float
 
@@ -53,9 +53,9 @@
 
     def __init__(self, urls: Sequence[str]) -> None:
         self._urls = urls
-        self._pool = urllib3.PoolManager(maxsize=CALLERS, retries=False)
+        self._pool = urllib3.PoolManager(maxsize=CALLER_COUNT, retries=False)
 
-    def send_all(self, plans: Sequence[RequestPlan]) -> list[Exchange]:
+    def send_all(self, plans: Sequence[RequestPlan]) -> list[RequestOutcome]:
         """Send every planned request and return what became of each."""
         names = [
             (f"{plan.entry}-{number}", plan.entry)
@@ -63,36 +63,36 @@
             for number in range(plan.requests)
         ]
         names.sort(key=lambda name: name[0][::-1])
-        with ThreadPoolExecutor(CALLERS) as callers:
+        with ThreadPoolExecutor(CALLER_COUNT) as callers:
             return list(callers.map(self._send, range(len(names)), names))
 
-    def _send(self, number: int, name: tuple[str, str]) -> Exchange:
+    def _send(self, number: int, name: tuple[str, str]) -> RequestOutcome:
         request_id, entry = name
         started_s = time.monotonic()
-        refused_ids: list[str] = []
-        for attempt in range(ATTEMPTS_MAX):
+        not_run_ids: list[str] = []
+        for attempt in range(MAX_ATTEMPTS):
             attempt_id = f"{request_id}.{attempt}"
             url = self._urls[(number + attempt) % len(self._urls)]
-            answer = self._post(f"{url}/v1/requests/{entry}", attempt_id)
-            if answer.status < 300:
-                problem = _problem_of(answer, attempt_id)
+            response = self._post(f"{url}/v1/requests/{entry}", attempt_id)
+            if response.status < 300:
+                problem = _problem_of(response, attempt_id)
                 answered = not problem
-                doubtful = False
+                may_have_run = False
                 break
-            doubtful = answer.json().get("verdict") != "not_run"
-            problem = "" if not doubtful else str(answer.json())
+            may_have_run = response.json().get("verdict") != "not_run"
+            problem = "" if not may_have_run else str(response.json())
             answered = False
-            if doubtful:
+            if may_have_run:
                 break
-            refused_ids.append(attempt_id)
-            time.sleep(RETRY_S)
+            not_run_ids.append(attempt_id)
+            time.sleep(RETRY_DELAY_S)
         elapsed_ms = (time.monotonic() - started_s) * 1_000
-        return Exchange(
+        return RequestOutcome(
             request_id,
             entry,
             answered,
-            tuple(refused_ids),
-            doubtful,
+            tuple(not_run_ids),
+            may_have_run,
             problem,
             elapsed_ms,
         )
@@ -107,13 +107,13 @@
         )
 
 
-def _problem_of(answer: urllib3.BaseHTTPResponse, attempt_id: str) -> str:
-    if answer.headers.get(REQUEST_ID_HEADER) != attempt_id:
-        return f"{attempt_id}: the answer repeats another id"
+def _problem_of(response: urllib3.BaseHTTPResponse, attempt_id: str) -> str:
+    if response.headers.get(REQUEST_ID_HEADER) != attempt_id:
+        return f"{attempt_id}: the response repeats another id"
     try:
-        echo = answer.json()["echo"]
+        echo = response.json()["echo"]
     except (orjson.JSONDecodeError, KeyError, ValueError):
-        return f"{attempt_id}: the answer is not complete"
+        return f"{attempt_id}: the response is not complete"
     if echo != f"body of {attempt_id}":
-        return f"{attempt_id}: the answer is to another request"
+        return f"{attempt_id}: the response is to another request"
     return ""
--- a/src/magnoliapitch/standin/cluster.py
+++ b/src/magnoliapitch/standin/cluster.py
@@ -28,7 +28,7 @@
     from magnoliapitch.backend.client import BackendClient
 
 
-class CellShape(NamedTuple):
+class ClusterShape(NamedTuple):
     """Sizes of a deployment.
 
     :param zones: availability zones; each has one rack and one group.
@@ -43,7 +43,7 @@
     connections: int = 64
 
 
-class CellOptions(NamedTuple):
+class ClusterOptions(NamedTuple):
     """What may differ between cells of the same shape.
 
     :param timing: timing of every entry.
@@ -56,17 +56,17 @@
     worker_pool: type[StandinWorkers] = StandinWorkers
 
 
-class Cell:
+class StandinCluster:
     """Stand-ins of a deployment, and entries that use them directly."""
 
     def __init__(
         self,
-        shape: CellShape,
+        shape: ClusterShape,
         clock: Clock | None = None,
-        options: CellOptions | None = None,
+        options: ClusterOptions | None = None,
     ) -> None:
         self.shape = shape
-        self._options = options or CellOptions()
+        self._options = options or ClusterOptions()
         self.clock = clock or MonotonicClock()
         infos = _instances(shape)
         self.log = StandinLog()
@@ -120,7 +120,7 @@
             item.close()
 
 
-def _instances(shape: CellShape) -> tuple[InstanceInfo, ...]:
+def _instances(shape: ClusterShape) -> tuple[InstanceInfo, ...]:
     infos: list[InstanceInfo] = []
     for zone in shape.zones:
         infos += [
--- a/src/magnoliapitch/standin/demo.py
+++ b/src/magnoliapitch/standin/demo.py
@@ -17,10 +17,10 @@
 from magnoliapitch.settings import TimingSettings
 from magnoliapitch.standin.audit import AuditedWorkers
 from magnoliapitch.standin.caller import RequestSender
-from magnoliapitch.standin.cluster import CellOptions
-from magnoliapitch.standin.cluster import CellShape
+from magnoliapitch.standin.cluster import ClusterOptions
+from magnoliapitch.standin.cluster import ClusterShape
 from magnoliapitch.standin.report import DemoResult
-from magnoliapitch.standin.serving import ServingCell
+from magnoliapitch.standin.serving import ServingCluster
 from magnoliapitch.standin.submitter import JobSubmitter
 
 
@@ -28,12 +28,12 @@
     from collections.abc import Callable
 
     from magnoliapitch.entry.node import EntryNode
-    from magnoliapitch.standin.caller import Exchange
+    from magnoliapitch.standin.caller import RequestOutcome
     from magnoliapitch.standin.deployment import Deployment
     from magnoliapitch.standin.submitter import SubmittedJob
 
 
-QUETZALTENANGO = CellShape(
+QUETZALTENANGO_SHAPE = ClusterShape(
     ("xela-norte", "xela-centro", "totonicapan"),
     "clubes-app",
     Resources(32_000, 131_072, 1),
@@ -41,7 +41,7 @@
 
 LEASE_TTL_MS = 2_000
 CALLER_THREADS = 16
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 TIMEOUT_S = 20
 
 
@@ -50,23 +50,23 @@
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
-        self._serving = ServingCell(
+        self._serving = ServingCluster(
             deployment,
-            options=CellOptions(
+            options=ClusterOptions(
                 TimingSettings(lease_ttl_ms=LEASE_TTL_MS),
                 CALLER_THREADS,
                 AuditedWorkers,
             ),
         )
-        workers = self._serving.cell.workers
+        workers = self._serving.cluster.workers
         assert isinstance(workers, AuditedWorkers)
         self._workers = workers
         self._problems: list[str] = []
-        self._lost: list[str] = []
-        self._used_shares: list[float] = []
+        self._stopped_instances: list[str] = []
+        self._cpu_shares: list[float] = []
         self._jobs: list[SubmittedJob] = []
-        self._done: set[str] = set()
-        self._exchanges: list[Exchange] = []
+        self._done_job_ids: set[str] = set()
+        self._outcomes: list[RequestOutcome] = []
 
     def run(self) -> DemoResult:
         """Serve the workload and return its result."""
@@ -77,38 +77,42 @@
             self._serving.stop()
 
     def _run(self) -> DemoResult:
-        if not wait_until(lambda: all(map(self._serves, self._nodes))):
+        if not wait_until(lambda: all(map(self._is_serving, self._nodes))):
             self._problems.append("the entries did not become ready")
         meter = ProcessUsageMeter()
         before = meter.read()
-        self._work()
+        self._run_workload()
         after = meter.read()
-        self._check()
+        self._check_guarantees()
         return DemoResult(
             deployment=self._deployment.name,
-            requests=len(self._exchanges),
-            answered=sum(item.answered for item in self._exchanges),
-            refusals=sum(len(item.refused_ids) for item in self._exchanges),
+            requests=len(self._outcomes),
+            answered=sum(item.answered for item in self._outcomes),
+            not_run_attempts=sum(
+                len(item.not_run_ids) for item in self._outcomes
+            ),
             jobs=sum(plan.jobs for plan in self._deployment.jobs),
-            jobs_done=len(self._done),
+            jobs_done=len(self._done_job_ids),
             waits_by_class={
-                name: timer.summary() for name, timer in self._waits().items()
+                name: timer.summary()
+                for name, timer in self._wait_timers().items()
             },
-            mean_used=sum(self._used_shares) / max(len(self._used_shares), 1),
-            peak_used=max(self._used_shares, default=0.0),
-            lost=tuple(self._lost),
+            mean_cpu_share=sum(self._cpu_shares)
+            / max(len(self._cpu_shares), 1),
+            peak_cpu_share=max(self._cpu_shares, default=0.0),
+            stopped_instances=tuple(self._stopped_instances),
             entries=len(self._nodes),
-            cost_before=before,
-            cost_after=after,
+            usage_before=before,
+            usage_after=after,
             problems=(*self._problems, *self._workers.problems()),
         )
 
     @property
     def _nodes(self) -> list[EntryNode]:
-        return self._serving.cell.entries
+        return self._serving.cluster.entries
 
-    def _serves(self, node: EntryNode) -> bool:
-        shape = self._serving.cell.shape
+    def _is_serving(self, node: EntryNode) -> bool:
+        shape = self._serving.cluster.shape
         with node.core.journal.reading() as state:
             return (
                 node.core.is_ready()
@@ -117,22 +121,22 @@
                 == len(self._deployment.catalogue)
             )
 
-    def _work(self) -> None:
+    def _run_workload(self) -> None:
         urls = [
             f"http://127.0.0.1:{node.caller_listener.port}"
             for node in self._nodes
         ]
         ended = threading.Event()
         with ThreadPoolExecutor(3) as threads:
-            sampling = threads.submit(self._sample_use, ended)
+            sampling = threads.submit(self._sample_cpu_share, ended)
             requests = threads.submit(
                 RequestSender(urls).send_all, self._deployment.requests
             )
-            losing = threads.submit(self._lose_instances)
+            stopping = threads.submit(self._stop_instances)
             try:
                 self._run_jobs(JobSubmitter(urls))
-                self._exchanges = requests.result()
-                losing.result()
+                self._outcomes = requests.result()
+                stopping.result()
             finally:
                 ended.set()
                 sampling.result()
@@ -151,50 +155,50 @@
                     self._jobs.append(job)
         deadline_s = time.monotonic() + TIMEOUT_S
         for job in self._jobs:
-            self._await_end(submitter, job, deadline_s)
+            self._wait_for_end(submitter, job, deadline_s)
 
-    def _await_end(
+    def _wait_for_end(
         self, submitter: JobSubmitter, job: SubmittedJob, deadline_s: float
     ) -> None:
         if job.work_class is WorkClass.SERVICE:
             if not wait_until(
-                lambda: self._started_tasks(job) == job.tasks, deadline_s
+                lambda: self._count_started_tasks(job) == job.tasks, deadline_s
             ):
                 return
             submitter.cancel(job)
         if wait_until(lambda: submitter.is_done(job), deadline_s):
-            self._done.add(job.job_id)
+            self._done_job_ids.add(job.job_id)
 
-    def _started_tasks(self, job: SubmittedJob) -> int:
+    def _count_started_tasks(self, job: SubmittedJob) -> int:
         names = [parse_lease_id(i.lease_id) for i in self._workers.history]
         return len(
             {name.task for name in names if name and name.job_id == job.job_id}
         )
 
-    def _lose_instances(self) -> None:
-        wait_until(lambda: self._workers.running_worker() is not None)
-        worker_id = self._workers.running_worker()
+    def _stop_instances(self) -> None:
+        wait_until(lambda: self._workers.find_running_worker() is not None)
+        worker_id = self._workers.find_running_worker()
         if worker_id is None:
             self._problems.append("no worker ran a task in time")
             return
         self._workers.by_id[worker_id].down = True
-        self._lost.append(worker_id)
-        backends = self._serving.cell.backends
+        self._stopped_instances.append(worker_id)
+        backends = self._serving.cluster.backends
         wait_until(lambda: len(backends.history) > 0)
         server_id = backends.history[-1].server_id
         backends.down.add(server_id)
-        self._lost.append(server_id)
+        self._stopped_instances.append(server_id)
 
-    def _sample_use(self, ended: threading.Event) -> None:
-        while not ended.wait(POLL_S):
-            share = self._workers.used_share()
+    def _sample_cpu_share(self, ended: threading.Event) -> None:
+        while not ended.wait(POLL_INTERVAL_S):
+            share = self._workers.cpu_share_in_use()
             if share:
-                self._used_shares.append(share)
+                self._cpu_shares.append(share)
 
-    def _waits(self) -> dict[str, Timer]:
+    def _wait_timers(self) -> dict[str, Timer]:
         timers: dict[str, Timer] = {}
         request_ms = self._deployment.request_ms
-        for item in self._exchanges:
+        for item in self._outcomes:
             timer = timers.setdefault("small requests", Timer())
             timer.record(item.elapsed_ms - request_ms)
         jobs_by_id = {job.job_id: job for job in self._jobs}
@@ -207,42 +211,45 @@
             if (name.job_id, name.task) in started:
                 continue
             started.add((name.job_id, name.task))
-            label = f"{job.work_class.value} tasks"
-            timer = timers.setdefault(label, Timer())
+            wait_class = f"{job.work_class.value} tasks"
+            timer = timers.setdefault(wait_class, Timer())
             timer.record(start.at_ms - job.accepted_ms)
         return timers
 
-    def _check(self) -> None:
-        history = self._serving.cell.backends.history
+    def _check_guarantees(self) -> None:
+        history = self._serving.cluster.backends.history
         runs_by_attempt = Counter(item.request_id for item in history)
         runs_by_request = Counter(
             item.request_id.rpartition(".")[0] for item in history
         )
-        once = {
+        non_idempotent = {
             entry.name
             for entry in self._deployment.catalogue
             if not entry.idempotent
         }
-        for item in self._exchanges:
-            self._check_exchange(item, runs_by_attempt)
-            if item.entry in once and runs_by_request[item.request_id] > 1:
+        for item in self._outcomes:
+            self._check_outcome(item, runs_by_attempt)
+            if (
+                item.entry in non_idempotent
+                and runs_by_request[item.request_id] > 1
+            ):
                 self._problems.append(f"{item.request_id} ran more than once")
         for plan in self._deployment.jobs:
             for number in range(plan.jobs):
                 job_id = f"{plan.entry}-{number}"
-                if job_id not in self._done:
+                if job_id not in self._done_job_ids:
                     self._problems.append(f"job {job_id} is not done")
 
-    def _check_exchange(
-        self, item: Exchange, runs_by_attempt: Counter[str]
+    def _check_outcome(
+        self, item: RequestOutcome, runs_by_attempt: Counter[str]
     ) -> None:
         if item.problem:
             self._problems.append(item.problem)
-        elif not item.answered and not item.doubtful:
+        elif not item.answered and not item.may_have_run:
             self._problems.append(f"{item.request_id} was never answered")
         self._problems.extend(
             f"{attempt_id} was called not run, but ran"
-            for attempt_id in item.refused_ids
+            for attempt_id in item.not_run_ids
             if runs_by_attempt[attempt_id]
         )
 
@@ -259,5 +266,5 @@
     while not condition():
         if time.monotonic() >= deadline_s:
             return False
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
     return True
--- a/src/magnoliapitch/standin/deployment.py
+++ b/src/magnoliapitch/standin/deployment.py
@@ -15,7 +15,7 @@
 from magnoliapitch.catalogue.file import TABLE
 from magnoliapitch.catalogue.file import read_entries
 from magnoliapitch.resource import Resources
-from magnoliapitch.standin.cluster import CellShape
+from magnoliapitch.standin.cluster import ClusterShape
 from magnoliapitch.standin.exceptions import InvalidDeploymentError
 from magnoliapitch.toml_file import read_toml
 from magnoliapitch.validation import describe_error
@@ -83,9 +83,9 @@
     jobs: tuple[JobPlan, ...] = ()
     catalogue: tuple[CatalogueEntry, ...] = ()
 
-    def shape(self) -> CellShape:
+    def shape(self) -> ClusterShape:
         """Return the sizes that the stand-ins need."""
-        return CellShape(
+        return ClusterShape(
             self.zones,
             self.app,
             self.capacity,
@@ -118,21 +118,21 @@
             for item in error.errors()
         )
         raise InvalidDeploymentError(problems) from error
-    _check_plans(path, deployment, entries)
+    _check_plan_entries(path, deployment, entries)
     return deployment._replace(catalogue=entries)
 
 
-def _check_plans(
+def _check_plan_entries(
     path: Path, deployment: Deployment, entries: tuple[CatalogueEntry, ...]
 ) -> None:
-    known = {entry.name for entry in entries}
-    used = [plan.entry for plan in deployment.requests]
-    used += [plan.entry for plan in deployment.jobs]
+    known_names = {entry.name for entry in entries}
+    used_names = [plan.entry for plan in deployment.requests]
+    used_names += [plan.entry for plan in deployment.jobs]
     problems = tuple(
         f"{path}: entry: found {name!r}; the catalogue has "
-        f"{', '.join(sorted(known))}"
-        for name in used
-        if name not in known
+        f"{', '.join(sorted(known_names))}"
+        for name in used_names
+        if name not in known_names
     )
     if problems:
         raise InvalidDeploymentError(problems)
--- a/src/magnoliapitch/standin/log.py
+++ b/src/magnoliapitch/standin/log.py
@@ -20,14 +20,14 @@
     """Keeps records in memory.
 
     :ivar down: whether every call fails without effect.
-    :ivar answers_to_lose: appends that take effect but answer in error.
+    :ivar answers_to_lose: appends that take effect but outcome in error.
     """
 
     def __init__(self) -> None:
         self.down = False
         self.answers_to_lose = 0
         self._records: list[LogRecord] = []
-        self._head = 0
+        self._next_offset = 0
         self._changed = threading.Condition()
 
     def append(self, data: bytes) -> Result[int, Failure]:
@@ -35,8 +35,8 @@
         with self._changed:
             if self.down:
                 return Err(not_run(FailureCode.UNAVAILABLE, "log is down"))
-            offset = self._head
-            self._head += 1
+            offset = self._next_offset
+            self._next_offset += 1
             self._records.append(LogRecord(offset, data))
             self._changed.notify_all()
             if self.answers_to_lose > 0:
@@ -49,27 +49,27 @@
     ) -> Result[LogSlice, Failure]:
         """Read records from an offset, oldest first."""
         with self._changed:
-            if wait_ms and not self.down and from_offset >= self._head:
+            if wait_ms and not self.down and from_offset >= self._next_offset:
                 self._changed.wait(wait_ms / 1000)
             if self.down:
                 return Err(not_run(FailureCode.UNAVAILABLE, "log is down"))
-            oldest = self._head - len(self._records)
+            oldest = self._next_offset - len(self._records)
             start = max(from_offset - oldest, 0)
             records = tuple(self._records[start : start + limit])
-            return Ok(LogSlice(records, oldest, self._head))
+            return Ok(LogSlice(records, oldest, self._next_offset))
 
     def expire(self, before_offset: int) -> None:
         """Drop records below an offset."""
         with self._changed:
-            oldest = self._head - len(self._records)
+            oldest = self._next_offset - len(self._records)
             del self._records[: max(before_offset - oldest, 0)]
 
 
-class LogAccess:
+class LogConnection:
     """One instance's way to a shared log, which can be cut.
 
     :ivar down: whether every call of this instance fails without effect.
-    :ivar answers_to_lose: appends that take effect but answer in error.
+    :ivar answers_to_lose: appends that take effect but outcome in error.
     """
 
     def __init__(self, log: StandinLog) -> None:
@@ -81,11 +81,11 @@
         """Append one record and return its offset."""
         if self.down:
             return Err(not_run(FailureCode.UNAVAILABLE, "log is cut off"))
-        answer = self._log.append(data)
-        if self.answers_to_lose > 0 and isinstance(answer, Ok):
+        outcome = self._log.append(data)
+        if self.answers_to_lose > 0 and isinstance(outcome, Ok):
             self.answers_to_lose -= 1
             return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
-        return answer
+        return outcome
 
     def read(
         self, from_offset: int, limit: int, wait_ms: int = 0
--- a/src/magnoliapitch/standin/peer.py
+++ b/src/magnoliapitch/standin/peer.py
@@ -34,22 +34,24 @@
 class StandinNetwork:
     """Connects peer handlers by address.
 
-    :ivar cuts: pairs ``(from, to)`` of addresses; what the first sends to
+    :ivar blocked_links: pairs ``(from, to)`` of addresses; what the first sends to
         the second is lost, also its answers.
     """
 
     def __init__(self) -> None:
-        self.cuts: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self.handlers_by_address: dict[str, PeerHandler] = {}
 
     def link(self, address: str) -> StandinLink:
         """Return the link of the instance at an address."""
         return StandinLink(self, address)
 
-    def reach(self, source: str, target: str) -> Result[PeerHandler, Failure]:
+    def find_handler(
+        self, source: str, target: str
+    ) -> Result[PeerHandler, Failure]:
         """Return the handler at ``target`` unless it is cut off."""
         handler = self.handlers_by_address.get(target)
-        if handler is None or (source, target) in self.cuts:
+        if handler is None or (source, target) in self.blocked_links:
             return Err(not_run(FailureCode.UNAVAILABLE, "unreachable"))
         return Ok(handler)
 
@@ -68,9 +70,9 @@
         timeout_ms: int,  # noqa: ARG002
     ) -> Result[Beat, Failure]:
         """Exchange heartbeats with a peer."""
-        reached = self._network.reach(self._address, address)
-        answer = reached.map(lambda handler: handler.heartbeat(beat))
-        return self._unless_lost(address, answer)
+        found = self._network.find_handler(self._address, address)
+        answer = found.map(lambda handler: handler.heartbeat(beat))
+        return self._drop_if_blocked(address, answer)
 
     def heartbeat_all(
         self,
@@ -91,9 +93,9 @@
         timeout_ms: int,  # noqa: ARG002
     ) -> Result[ForwardedAnswer, Failure]:
         """Let a peer execute a request."""
-        reached = self._network.reach(self._address, address)
-        answer = reached.and_then(lambda handler: handler.forward(request))
-        return self._unless_lost(address, answer)
+        found = self._network.find_handler(self._address, address)
+        answer = found.and_then(lambda handler: handler.forward(request))
+        return self._drop_if_blocked(address, answer)
 
     def read_log(
         self,
@@ -103,9 +105,9 @@
         timeout_ms: int,  # noqa: ARG002
     ) -> Result[LogPage, Failure]:
         """Fetch log records through a peer."""
-        reached = self._network.reach(self._address, address)
-        page = reached.map(lambda peer: peer.read_log(from_offset, limit))
-        return self._unless_lost(address, page)
+        found = self._network.find_handler(self._address, address)
+        page = found.map(lambda handler: handler.read_log(from_offset, limit))
+        return self._drop_if_blocked(address, page)
 
     def snapshot(
         self,
@@ -113,16 +115,16 @@
         timeout_ms: int,  # noqa: ARG002
     ) -> Result[StateSnapshot, Failure]:
         """Fetch a peer's encoded fold."""
-        reached = self._network.reach(self._address, address)
-        return self._unless_lost(
-            address, reached.map(lambda peer: peer.snapshot())
+        found = self._network.find_handler(self._address, address)
+        return self._drop_if_blocked(
+            address, found.map(lambda handler: handler.snapshot())
         )
 
-    def _unless_lost(
+    def _drop_if_blocked(
         self, address: str, answer: Result[ValueT, Failure]
     ) -> Result[ValueT, Failure]:
         if isinstance(answer, Ok) and (
-            (address, self._address) in self._network.cuts
+            (address, self._address) in self._network.blocked_links
         ):
             return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
         return answer
--- a/src/magnoliapitch/standin/report.py
+++ b/src/magnoliapitch/standin/report.py
@@ -12,27 +12,27 @@
     """What a run of one deployment gave.
 
     :param waits_by_class: waiting times of requests and tasks by class.
-    :param mean_used: mean share of processors in use while jobs ran.
-    :param peak_used: highest such share.
-    :param lost: instances lost midway.
-    :param cost_before: cost of the process before the work.
-    :param cost_after: cost of the process after it.
+    :param mean_cpu_share: mean share of processors in use while jobs ran.
+    :param peak_cpu_share: highest such share.
+    :param stopped_instances: instances lost midway.
+    :param usage_before: cost of the process before the work.
+    :param usage_after: cost of the process after it.
     :param problems: promises that were broken.
     """
 
     deployment: str
     requests: int
     answered: int
-    refusals: int
+    not_run_attempts: int
     jobs: int
     jobs_done: int
     waits_by_class: dict[str, TimerSummary]
-    mean_used: float
-    peak_used: float
-    lost: tuple[str, ...]
+    mean_cpu_share: float
+    peak_cpu_share: float
+    stopped_instances: tuple[str, ...]
     entries: int
-    cost_before: ProcessUsage
-    cost_after: ProcessUsage
+    usage_before: ProcessUsage
+    usage_after: ProcessUsage
     problems: tuple[str, ...]
 
 
@@ -41,26 +41,26 @@
     print(f"{result.deployment}: {result.entries} entries")
     print(
         f"  requests   {result.answered} of {result.requests} answered, "
-        f"{result.refusals} refused as not run and sent again"
+        f"{result.not_run_attempts} refused as not run and sent again"
     )
     print(f"  jobs       {result.jobs_done} of {result.jobs} done")
-    print(f"  lost       {', '.join(result.lost)}")
+    print(f"  lost       {', '.join(result.stopped_instances)}")
     for name, summary in result.waits_by_class.items():
         print(
             f"  waiting    {name:<18} p50 {summary.p50_ms:8.1f} ms  "
             f"p99 {summary.p99_ms:8.1f} ms  of {summary.samples}"
         )
     print(
-        f"  packing    {result.mean_used:.1%} of processors used in the "
-        f"mean, {result.peak_used:.1%} at the peak"
+        f"  packing    {result.mean_cpu_share:.1%} of processors used in the "
+        f"mean, {result.peak_cpu_share:.1%} at the peak"
     )
-    _print_cost(result)
+    _print_usage(result)
     for problem in result.problems:
         print(f"  BROKEN     {problem}")
 
 
-def _print_cost(result: DemoResult) -> None:
-    before, after = result.cost_before, result.cost_after
+def _print_usage(result: DemoResult) -> None:
+    before, after = result.usage_before, result.usage_after
     elapsed_s = after.elapsed_s - before.elapsed_s
     cpu_s = after.cpu_s - before.cpu_s
     share = cpu_s / elapsed_s / result.entries
--- a/src/magnoliapitch/standin/server.py
+++ b/src/magnoliapitch/standin/server.py
@@ -66,13 +66,13 @@
         )
         return _respond(
             outcome,
-            lambda part: {
+            lambda log_slice: {
                 "records": [
                     {"offset": item.offset, "data": item.data.decode()}
-                    for item in part.records
+                    for item in log_slice.records
                 ],
-                "oldest": part.oldest,
-                "head": part.head,
+                "oldest": log_slice.oldest,
+                "head": log_slice.head,
             },
         )
 
@@ -164,18 +164,20 @@
     if isinstance(outcome, Err):
         failure = outcome.err_value
         if failure.verdict is not Verdict.NOT_RUN:
-            other = ((REQUEST_ID_HEADER, "other"),)
-            return HttpResponse(200, b"{}", headers=other)
+            wrong_id = ((REQUEST_ID_HEADER, "other"),)
+            return HttpResponse(200, b"{}", headers=wrong_id)
         headers: tuple[tuple[str, str], ...] = ((NOT_RUN_HEADER, "1"),)
         if failure.code is FailureCode.SHUTTING_DOWN:
             headers += ((LEAVING_HEADER, "1"),)
         return HttpResponse(503, headers=headers)
     answer = outcome.ok_value
-    repeated: tuple[tuple[str, str], ...] = ((REQUEST_ID_HEADER, request_id),)
+    answer_headers: tuple[tuple[str, str], ...] = (
+        (REQUEST_ID_HEADER, request_id),
+    )
     if answer.leaving:
-        repeated += ((LEAVING_HEADER, "1"),)
+        answer_headers += ((LEAVING_HEADER, "1"),)
     return HttpResponse(
-        answer.status, answer.body, answer.content_type, repeated
+        answer.status, answer.body, answer.content_type, answer_headers
     )
 
 
@@ -187,7 +189,7 @@
     return json_response(encode(outcome.ok_value))
 
 
-class CellServer:
+class StandinServer:
     """Serves the stand-ins of a deployment on one loopback port.
 
     Worker and backend URLs of the instance list point at this server.
--- a/src/magnoliapitch/standin/serving.py
+++ b/src/magnoliapitch/standin/serving.py
@@ -7,35 +7,37 @@
 
 from magnoliapitch.journal.codec import encode_record
 from magnoliapitch.journal.record import CataloguePut
-from magnoliapitch.standin.cluster import Cell
-from magnoliapitch.standin.cluster import CellOptions
-from magnoliapitch.standin.server import CellServer
+from magnoliapitch.standin.cluster import ClusterOptions
+from magnoliapitch.standin.cluster import StandinCluster
+from magnoliapitch.standin.server import StandinServer
 
 
 if TYPE_CHECKING:
     from magnoliapitch.standin.deployment import Deployment
 
 
-class ServingCell:
+class ServingCluster:
     """Stand-ins and entries of a deployment, with its catalogue in force.
 
-    :ivar cell: the stand-ins and entries.
+    :ivar cluster: the stand-ins and entries.
     """
 
     def __init__(
         self,
         deployment: Deployment,
         platform_port: int = 0,
-        options: CellOptions | None = None,
+        options: ClusterOptions | None = None,
     ) -> None:
         self.deployment = deployment
-        self.cell = Cell(deployment.shape(), options=options or CellOptions())
-        self.cell.backends.duration_ms = deployment.request_ms
-        self.server = CellServer(
-            self.cell.log,
-            self.cell.instance_list,
-            self.cell.workers,
-            self.cell.backends,
+        self.cluster = StandinCluster(
+            deployment.shape(), options=options or ClusterOptions()
+        )
+        self.cluster.backends.duration_ms = deployment.request_ms
+        self.server = StandinServer(
+            self.cluster.log,
+            self.cluster.instance_list,
+            self.cluster.workers,
+            self.cluster.backends,
             port=platform_port,
         )
 
@@ -46,13 +48,13 @@
         """
         self.server.start()
         for entry in self.deployment.catalogue:
-            self.cell.log.append(encode_record((CataloguePut(entry, 0),)))
+            self.cluster.log.append(encode_record((CataloguePut(entry, 0),)))
         for number in range(entries):
             zones = self.deployment.zones
-            self.cell.add_entry(zones[number % len(zones)]).start()
+            self.cluster.add_entry(zones[number % len(zones)]).start()
 
     def stop(self) -> None:
         """Stop all entries at once, then the stand-ins."""
         with ThreadPoolExecutor() as threads:
-            list(threads.map(lambda node: node.stop(), self.cell.entries))
+            list(threads.map(lambda node: node.stop(), self.cluster.entries))
         self.server.stop()
--- a/src/magnoliapitch/standin/submitter.py
+++ b/src/magnoliapitch/standin/submitter.py
@@ -20,10 +20,10 @@
     from magnoliapitch.standin.deployment import JobPlan
 
 
-ATTEMPTS_MAX = 100
-RETRY_S = 0.05
+MAX_ATTEMPTS = 100
+RETRY_DELAY_S = 0.05
 TIMEOUT_S = 30
-ACCEPTED = 202
+STATUS_ACCEPTED = 202
 
 
 class SubmittedJob(NamedTuple):
@@ -43,7 +43,7 @@
 
     def __init__(self, urls: Sequence[str]) -> None:
         self._urls = urls
-        self._calls = 0
+        self._call_count = 0
         self._pool = urllib3.PoolManager(retries=False)
 
     def submit(
@@ -61,31 +61,31 @@
                 "payload": f"run_ms={plan.run_ms}",
             }
         )
-        for _ in range(ATTEMPTS_MAX):
-            if self._call("POST", "/v1/jobs", body).status == ACCEPTED:
+        for _ in range(MAX_ATTEMPTS):
+            if self._call("POST", "/v1/jobs", body).status == STATUS_ACCEPTED:
                 now_ms = time.monotonic() * 1_000
                 return SubmittedJob(job_id, work_class, plan.tasks, now_ms)
-            time.sleep(RETRY_S)
+            time.sleep(RETRY_DELAY_S)
         return None
 
     def is_done(self, job: SubmittedJob) -> bool:
         """Return whether nothing of the job has to run any more."""
-        answer = self._call("GET", f"/v1/jobs/{job.job_id}")
-        if answer.status != 200:
+        response = self._call("GET", f"/v1/jobs/{job.job_id}")
+        if response.status != 200:
             return False
-        status: Any = answer.json()
+        status: Any = response.json()
         return bool(status["done"])
 
     def cancel(self, job: SubmittedJob) -> bool:
         """Cancel a job; return whether that was accepted."""
-        answer = self._call("DELETE", f"/v1/jobs/{job.job_id}")
-        return answer.status == 200
+        response = self._call("DELETE", f"/v1/jobs/{job.job_id}")
+        return response.status == 200
 
     def _call(
         self, method: str, path: str, body: bytes = b""
     ) -> urllib3.BaseHTTPResponse:
-        self._calls += 1
-        url = self._urls[self._calls % len(self._urls)]
+        self._call_count += 1
+        url = self._urls[self._call_count % len(self._urls)]
         return self._pool.request(
             method, url + path, body=body, timeout=TIMEOUT_S
         )
--- a/src/magnoliapitch/standin/worker.py
+++ b/src/magnoliapitch/standin/worker.py
@@ -43,12 +43,12 @@
     lease_id: str
 
 
-class _Running(NamedTuple):
+class _RunningLease(NamedTuple):
     view: LeaseView
     ends_at_ms: int
 
     @property
-    def stops_at_ms(self) -> int:
+    def task_ends_at_ms(self) -> int:
         """Time of the worker's clock at which it stops by itself."""
         return min(self.view.expires_at_ms, self.ends_at_ms)
 
@@ -68,19 +68,19 @@
     def __init__(self, info: InstanceInfo, clock: Clock, skew_ms: int) -> None:
         self.info = info
         self.down = False
-        self.fails_everything = False
+        self.fails_all_tasks = False
         self.fences_epochs = False
-        self.boots = 1
+        self.boot_count = 1
         self.events: list[LeaseStarted | LeaseEnded] = []
         self._epoch = 0
         self._clock = clock
         self._skew_ms = skew_ms
-        self._running_by_lease: dict[str, _Running] = {}
+        self._leases_by_id: dict[str, _RunningLease] = {}
 
     @property
     def boot_id(self) -> str:
         """Name of the current boot."""
-        return f"{self.info.instance_id}-{self.boots}"
+        return f"{self.info.instance_id}-{self.boot_count}"
 
     def now_ms(self) -> int:
         """Return the monotonic clock of the current boot."""
@@ -88,15 +88,15 @@
 
     def view(self) -> WorkerView:
         """Return all unexpired leases."""
-        self._advance()
-        leases = tuple(item.view for item in self._running_by_lease.values())
+        self._advance_to_now()
+        leases = tuple(item.view for item in self._leases_by_id.values())
         return WorkerView(
             self.info.instance_id, self.boot_id, self.now_ms(), leases
         )
 
     def start(self, grant: LeaseGrant, run_ms: int) -> bool:
         """Start a task; return whether it is new."""
-        self._advance()
+        self._advance_to_now()
         if not self._accepts(grant):
             return False
         if self.fences_epochs:
@@ -112,7 +112,7 @@
             grant.resources,
         )
         ends_at_ms = self.now_ms() + run_ms
-        self._running_by_lease[grant.lease_id] = _Running(view, ends_at_ms)
+        self._leases_by_id[grant.lease_id] = _RunningLease(view, ends_at_ms)
         if grant.kind is LeaseKind.TASK:
             self.events.append(
                 LeaseStarted(
@@ -126,35 +126,35 @@
 
     def renew(self, lease_id: str, expires_at_ms: int) -> None:
         """Extend a lease that has not expired."""
-        self._advance()
-        running = self._running_by_lease.get(lease_id)
+        self._advance_to_now()
+        running = self._leases_by_id.get(lease_id)
         if running is None or expires_at_ms <= running.view.expires_at_ms:
             return
         view = running.view._replace(expires_at_ms=expires_at_ms)
-        self._running_by_lease[lease_id] = running._replace(view=view)
+        self._leases_by_id[lease_id] = running._replace(view=view)
 
     def stop(self, lease_id: str) -> None:
         """End a lease."""
-        self._advance()
-        item = self._running_by_lease.pop(lease_id, None)
+        self._advance_to_now()
+        item = self._leases_by_id.pop(lease_id, None)
         if item is not None:
-            self._note_end(item, self.now_ms())
+            self._record_end(item, self.now_ms())
 
     def restart(self) -> None:
         """Lose every lease, as after a crash."""
-        self._advance()
-        for item in self._running_by_lease.values():
-            self._note_end(item, self.now_ms())
-        self.boots += 1
+        self._advance_to_now()
+        for item in self._leases_by_id.values():
+            self._record_end(item, self.now_ms())
+        self.boot_count += 1
         self._skew_ms = -self._clock.now_ms()
         self._epoch = 0
-        self._running_by_lease.clear()
+        self._leases_by_id.clear()
 
     def used(self) -> Resources:
         """Return what running tasks reserve now."""
-        self._advance()
+        self._advance_to_now()
         total = NO_RESOURCES
-        for item in self._running_by_lease.values():
+        for item in self._leases_by_id.values():
             if item.view.state is LeaseState.RUNNING:
                 total = total.plus(item.view.resources)
         return total
@@ -164,9 +164,9 @@
             return False
         if grant.expires_at_ms <= self.now_ms():
             return False
-        return grant.lease_id not in self._running_by_lease
+        return grant.lease_id not in self._leases_by_id
 
-    def _note_end(self, item: _Running, at_ms: int) -> None:
+    def _record_end(self, item: _RunningLease, at_ms: int) -> None:
         if item.is_running_task:
             self.events.append(
                 LeaseEnded(
@@ -176,23 +176,23 @@
                 )
             )
 
-    def _advance(self) -> None:
+    def _advance_to_now(self) -> None:
         now_ms = self.now_ms()
-        for lease_id, item in list(self._running_by_lease.items()):
-            if item.stops_at_ms <= now_ms:
-                self._note_end(item, item.stops_at_ms)
+        for lease_id, item in list(self._leases_by_id.items()):
+            if item.task_ends_at_ms <= now_ms:
+                self._record_end(item, item.task_ends_at_ms)
             if item.view.expires_at_ms <= now_ms:
-                del self._running_by_lease[lease_id]
+                del self._leases_by_id[lease_id]
                 continue
             if not item.is_running_task or item.ends_at_ms > now_ms:
                 continue
             state = (
                 LeaseState.FAILED
-                if self.fails_everything
+                if self.fails_all_tasks
                 else LeaseState.FINISHED
             )
             view = item.view._replace(state=state, progress=1.0)
-            self._running_by_lease[lease_id] = item._replace(view=view)
+            self._leases_by_id[lease_id] = item._replace(view=view)
 
 
 class StandinWorkers:
--- a/src/magnoliapitch/worker/runner.py
+++ b/src/magnoliapitch/worker/runner.py
@@ -20,7 +20,7 @@
     from collections.abc import Iterator
 
 
-CALL_THREADS = 8
+CALL_THREAD_COUNT = 8
 
 WorkerOutcome = Result[WorkerView, Failure]
 
@@ -69,15 +69,15 @@
 
 
 class PooledRunner:
-    """Makes calls in a few threads, so a silent worker delays no other."""
+    """Makes calls in a few thread_count, so a silent worker delays no other."""
 
-    def __init__(self, threads: int = CALL_THREADS) -> None:
-        self._threads = ThreadPoolExecutor(threads, "worker-call")
+    def __init__(self, thread_count: int = CALL_THREAD_COUNT) -> None:
+        self._executor = ThreadPoolExecutor(thread_count, "worker-call")
         self._replies: queue.SimpleQueue[WorkerReply] = queue.SimpleQueue()
 
     def submit(self, call: WorkerCall) -> None:
         """Make a call when a thread is free."""
-        self._threads.submit(self._run, call)
+        self._executor.submit(self._run, call)
 
     def replies(self) -> Iterator[WorkerReply]:
         """Return the outcomes that have arrived since the last time."""
@@ -89,7 +89,7 @@
 
     def stop(self) -> None:
         """Start no further calls."""
-        self._threads.shutdown(wait=False, cancel_futures=True)
+        self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _run(self, call: WorkerCall) -> None:
         self._replies.put(WorkerReply(call.worker_id, call.run()))
--- a/tests/api/conftest.py
+++ b/tests/api/conftest.py
@@ -9,8 +9,8 @@
 import pytest
 import urllib3
 
-from magnoliapitch.standin.cluster import Cell
-from magnoliapitch.standin.demo import QUETZALTENANGO
+from magnoliapitch.standin.cluster import StandinCluster
+from magnoliapitch.standin.demo import QUETZALTENANGO_SHAPE
 
 
 if TYPE_CHECKING:
@@ -26,8 +26,8 @@
     """A cell of two entries in this process."""
 
     def __init__(self) -> None:
-        self.cell = Cell(QUETZALTENANGO)
-        for zone in QUETZALTENANGO.zones[:2]:
+        self.cell = StandinCluster(QUETZALTENANGO_SHAPE)
+        for zone in QUETZALTENANGO_SHAPE.zones[:2]:
             self.cell.add_entry(zone)
 
     def start(self) -> None:
--- a/tests/history/fault.py
+++ b/tests/history/fault.py
@@ -85,10 +85,10 @@
 
 
 def cut_peers(scene: Scene, pairs: set[tuple[str, str]]) -> Undo:
-    scene.network.cuts |= pairs
+    scene.network.blocked_links |= pairs
 
     def undo() -> None:
-        scene.network.cuts -= pairs
+        scene.network.blocked_links -= pairs
 
     return undo
 
@@ -149,10 +149,10 @@
 @fault
 def worker_fails_all(scene: Scene) -> Undo:
     worker = scene.cell.workers.by_id[pick_worker(scene)]
-    worker.fails_everything = True
+    worker.fails_all_tasks = True
 
     def undo() -> None:
-        worker.fails_everything = False
+        worker.fails_all_tasks = False
 
     return undo
 
--- a/tests/history/scene.py
+++ b/tests/history/scene.py
@@ -32,8 +32,8 @@
 from magnoliapitch.resource import Resources
 from magnoliapitch.settings.model import PlatformSettings
 from magnoliapitch.settings.model import Settings
-from magnoliapitch.standin.cluster import Cell
-from magnoliapitch.standin.cluster import CellShape
+from magnoliapitch.standin.cluster import ClusterShape
+from magnoliapitch.standin.cluster import StandinCluster
 from magnoliapitch.standin.peer import StandinNetwork
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -172,10 +172,10 @@
     def __init__(self, rng: np.random.Generator) -> None:
         self.rng = rng
         self.clock = ManualClock(1_000)
-        shape = CellShape(
+        shape = ClusterShape(
             ZONES, "app", CAPACITY, WORKERS_PER_ZONE, backends_per_zone=1
         )
-        self.cell = Cell(shape, self.clock)
+        self.cell = StandinCluster(shape, self.clock)
         self.network = StandinNetwork()
         self.actors: dict[str, Actor] = {}
         self.paused: set[str] = set()
@@ -255,12 +255,12 @@
         outside = {a.address for a in self.actors.values()} - addresses
         pairs = {(a, b) for a in addresses for b in outside}
         pairs |= {(b, a) for a, b in pairs}
-        self.network.cuts |= pairs
+        self.network.blocked_links |= pairs
         for actor in inside:
             actor.outside.log_away = True
 
         def heal() -> None:
-            self.network.cuts -= pairs
+            self.network.blocked_links -= pairs
             for actor in inside:
                 actor.outside.log_away = False
 
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -115,15 +115,15 @@
     actor = scene.actors[owner]
     actor.outside.log_away = True
     others = {item.address for item in scene.actors.values()}
-    scene.network.cuts |= {(actor.address, other) for other in others}
-    scene.network.cuts |= {(other, actor.address) for other in others}
+    scene.network.blocked_links |= {(actor.address, other) for other in others}
+    scene.network.blocked_links |= {(other, actor.address) for other in others}
     scene.run(2 * BOUND_MS, TICK_MS)
     assert owner_of_by_log(scene) != owner
     phases = actor.core.jobs.dump()["workers"]
     assert isinstance(phases, dict)
     assert set(phases.values()) == {"yielded"}
     actor.outside.log_away = False
-    scene.network.cuts.clear()
+    scene.network.blocked_links.clear()
     finish(scene)
 
 
@@ -150,10 +150,10 @@
         if name != owner:
             other.outside.unreachable.add("norte-worker-1")
             pair = (actor.address, other.address)
-            scene.network.cuts |= {pair, (pair[1], pair[0])}
+            scene.network.blocked_links |= {pair, (pair[1], pair[0])}
     actor.outside.unreachable.add("norte-worker-2")
     scene.run(60_000, 500)
-    scene.network.cuts.clear()
+    scene.network.blocked_links.clear()
     actor.outside.log_away = False
     for other in scene.actors.values():
         other.outside.unreachable.clear()
@@ -202,12 +202,12 @@
     actor = scene.add_entry("norte-0", "norte")
     actor.outside.log_away = True
     for other in scene.actors.values():
-        scene.network.cuts.add((actor.address, other.address))
-        scene.network.cuts.add((other.address, actor.address))
+        scene.network.blocked_links.add((actor.address, other.address))
+        scene.network.blocked_links.add((other.address, actor.address))
     scene.run(30_000, 500)
     assert actor.core.claimer.owned_claims() == {}
     assert actor.outside.append(b"") == actor.outside.instances()
     assert actor.outside.append(b"").err() == AWAY
     actor.outside.log_away = False
-    scene.network.cuts.clear()
+    scene.network.blocked_links.clear()
     finish(scene)
--- a/tests/job/test_backlog.py
+++ b/tests/job/test_backlog.py
@@ -22,7 +22,7 @@
 CAPACITY = Resources(32_000, 128_000)
 
 
-class Gang:
+class GangScenario:
     def __init__(self) -> None:
         entry = CatalogueEntry("fee-close", "fees", WorkClass.GANG)
         self.state = ClusterState()
@@ -31,28 +31,30 @@
         self.job = JobRecord(spec, UNIT, 0)
         self.state.jobs_by_id["gang"] = self.job
         self.backlog = Backlog()
-        self.active: set[TaskKey] = set()
+        self.active_tasks: set[TaskKey] = set()
         self.scheduler = make_scheduler("weighted")
         self.scheduler.set_catalogue({entry.name: entry})
         self.scheduler.add_worker(WorkerShape("w", UNIT, "zone", CAPACITY))
         self.now_ms = 0
         self.backlog.add_job("gang")
 
-    def start(self) -> list[int]:
+    def start_tasks(self) -> list[int]:
         self.now_ms += 1_000
-        taken = self.backlog.take(self.state, {UNIT}, self.active, self.now_ms)
-        if taken:
-            self.scheduler.submit(taken)
-        started = []
+        requests = self.backlog.take_due_requests(
+            self.state, {UNIT}, self.active_tasks, self.now_ms
+        )
+        if requests:
+            self.scheduler.submit(requests)
+        started_tasks = []
         for placement in self.scheduler.decide(self.now_ms).placements:
             number = int(placement.task_id.split("/")[1])
             key = TaskKey("gang", number)
             assert self.backlog.pop(key) is not None
-            self.active.add(key)
-            started.append(number)
-        return sorted(started)
+            self.active_tasks.add(key)
+            started_tasks.append(number)
+        return sorted(started_tasks)
 
-    def end(self, number: int, outcome: TaskOutcome) -> None:
+    def end_task(self, number: int, outcome: TaskOutcome) -> None:
         key = TaskKey("gang", number)
         attempt = self.job.attempts_by_task.get(number, 0)
         task_id = f"gang/{number}/{attempt}"
@@ -60,38 +62,38 @@
         self.job.attempts_by_task[number] = attempt + 1
         self.job.ended_by_task[number] = outcome
         self.job.finished_tasks += outcome is TaskOutcome.FINISHED
-        self.active.discard(key)
+        self.active_tasks.discard(key)
         self.backlog.retry(key, self.job, self.now_ms)
 
 
 def test_backlog_hands_over_a_gang_as_a_whole() -> None:
-    assert Gang().start() == [0, 1, 2, 3]
+    assert GangScenario().start_tasks() == [0, 1, 2, 3]
 
 
 @pytest.mark.parametrize("finished", range(TASKS))
 def test_backlog_lets_lost_tasks_join_a_gang_that_has_partly_finished(
     finished: int,
 ) -> None:
-    gang = Gang()
-    gang.start()
+    gang = GangScenario()
+    gang.start_tasks()
     for number in range(TASKS):
         outcome = TaskOutcome.LOST
         if number < finished:
             outcome = TaskOutcome.FINISHED
-        gang.end(number, outcome)
-    assert gang.start() == list(range(finished, TASKS))
+        gang.end_task(number, outcome)
+    assert gang.start_tasks() == list(range(finished, TASKS))
 
 
 def test_backlog_lets_lost_tasks_join_when_the_rest_finishes_meanwhile() -> (
     None
 ):
-    gang = Gang()
-    gang.start()
+    gang = GangScenario()
+    gang.start_tasks()
     gang.scheduler.set_withheld("w", CAPACITY)
-    gang.end(0, TaskOutcome.LOST)
-    gang.end(1, TaskOutcome.LOST)
-    assert gang.start() == []
-    gang.end(2, TaskOutcome.FINISHED)
-    gang.end(3, TaskOutcome.LOST)
+    gang.end_task(0, TaskOutcome.LOST)
+    gang.end_task(1, TaskOutcome.LOST)
+    assert gang.start_tasks() == []
+    gang.end_task(2, TaskOutcome.FINISHED)
+    gang.end_task(3, TaskOutcome.LOST)
     gang.scheduler.set_withheld("w", Resources())
-    assert gang.start() == [0, 1, 3]
+    assert gang.start_tasks() == [0, 1, 3]
--- a/tests/journal/test_history.py
+++ b/tests/journal/test_history.py
@@ -108,7 +108,9 @@
 
     def toggle_cut(self, source: str, target: str) -> None:
         if source != target:
-            self.group.network.cuts ^= {(f"{source}:1", f"{target}:1")}
+            self.group.network.blocked_links ^= {
+                (f"{source}:1", f"{target}:1")
+            }
 
     def expire(self, kept: int) -> None:
         self.group.log.expire(len(self.records) - kept)
@@ -120,7 +122,7 @@
         self.group.logs[name].down = access.down
 
     def heal(self) -> None:
-        self.group.network.cuts.clear()
+        self.group.network.blocked_links.clear()
         self.group.log.down = False
         for access in self.group.logs.values():
             access.down = False
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -18,7 +18,7 @@
 from magnoliapitch.standin import StandinLog
 from magnoliapitch.standin.backend import StandinBackends
 from magnoliapitch.standin.instance import StandinInstanceList
-from magnoliapitch.standin.log import LogAccess
+from magnoliapitch.standin.log import LogConnection
 from magnoliapitch.standin.peer import StandinNetwork
 from magnoliapitch.standin.worker import StandinWorkers
 
@@ -43,7 +43,7 @@
         self.instances = StandinInstanceList()
         self.network = StandinNetwork()
         self.cores: dict[str, EntryCore] = {}
-        self.logs: dict[str, LogAccess] = {}
+        self.logs: dict[str, LogConnection] = {}
         self.paused: set[str] = set()
         self._next_due_ms: dict[tuple[str, str], int] = {}
 
@@ -57,7 +57,7 @@
             listeners=ListenerSettings(peer_port=len(name)),
             peer_addresses=tuple(f"{seed}:{len(seed)}" for seed in seeds),
         )._replace(address=name)
-        self.logs[name] = LogAccess(self.log)
+        self.logs[name] = LogConnection(self.log)
         adapters = Adapters(
             self.logs[name],
             self.instances,
@@ -85,7 +85,7 @@
         return self.cores.pop(name)
 
     def cut(self, source: str, target: str) -> None:
-        self.network.cuts.add(
+        self.network.blocked_links.add(
             (f"{source}:{len(source)}", f"{target}:{len(target)}")
         )
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -72,7 +72,7 @@
     group.cut("b", "a")
     group.run(1_000)
     assert group.states("b") == {"a": "joining"}
-    group.network.cuts.clear()
+    group.network.blocked_links.clear()
     group.run(3_000)
     assert group.states("a") == {"b": "live"}
     group.cores["b"].drain()
@@ -106,7 +106,7 @@
     group.run(6_000)
     assert group.states("a") == {"b": "suspect", "c": "live"}
     assert group.states("b") == {"a": "suspect", "c": "live"}
-    group.network.cuts.clear()
+    group.network.blocked_links.clear()
     group.run(4_000)
     assert group.states("a") == {"b": "live", "c": "live"}
 
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -13,10 +13,10 @@
 import pytest
 import urllib3
 
-from magnoliapitch.standin.cluster import Cell
+from magnoliapitch.standin.cluster import StandinCluster
 from magnoliapitch.standin.cluster import free_ports
-from magnoliapitch.standin.demo import QUETZALTENANGO
-from magnoliapitch.standin.server import CellServer
+from magnoliapitch.standin.demo import QUETZALTENANGO_SHAPE
+from magnoliapitch.standin.server import StandinServer
 
 
 if TYPE_CHECKING:
@@ -98,8 +98,8 @@
     """Stand-ins of a cell in this process and entries in others."""
 
     def __init__(self, folder: Path) -> None:
-        self.cell = Cell(QUETZALTENANGO)
-        self.server = CellServer(
+        self.cell = StandinCluster(QUETZALTENANGO_SHAPE)
+        self.server = StandinServer(
             self.cell.log,
             self.cell.instance_list,
             self.cell.workers,
--- a/tests/request/conftest.py
+++ b/tests/request/conftest.py
@@ -21,8 +21,8 @@
 from magnoliapitch.resource import Resources
 from magnoliapitch.settings.model import PlatformSettings
 from magnoliapitch.settings.model import Settings
-from magnoliapitch.standin.cluster import Cell
-from magnoliapitch.standin.cluster import CellShape
+from magnoliapitch.standin.cluster import ClusterShape
+from magnoliapitch.standin.cluster import StandinCluster
 from magnoliapitch.standin.peer import StandinNetwork
 
 
@@ -55,8 +55,8 @@
 
     def __init__(self, shape: RequestCellShape, clock: Clock) -> None:
         self.clock = clock
-        self.deployment = Cell(
-            CellShape(
+        self.deployment = StandinCluster(
+            ClusterShape(
                 shape.zones,
                 APP,
                 Resources(1_000, 1_000, 0),
--- a/tests/request/test_at_most_once.py
+++ b/tests/request/test_at_most_once.py
@@ -104,7 +104,7 @@
     if how == "left":
         _remove_instance(cell, 1)
     else:
-        cell.network.cuts.add(("10.0.0.1:8082", "10.0.0.2:8082"))
+        cell.network.blocked_links.add(("10.0.0.1:8082", "10.0.0.2:8082"))
     failure = _send(cell, 0, ticket=ticket).unwrap_err()
     assert failure.verdict is Verdict.MAY_HAVE_RUN
     assert _run_count(cell) == 0
--- a/tests/request/test_dispatch_fence.py
+++ b/tests/request/test_dispatch_fence.py
@@ -84,7 +84,7 @@
 ) -> None:
     cell = make_cell(RequestCellShape(("norte", "sur")))
     cell.deployment.log.down = True
-    cell.network.cuts |= {
+    cell.network.blocked_links |= {
         (FIRST_ADDRESS, SECOND_ADDRESS),
         (SECOND_ADDRESS, FIRST_ADDRESS),
     }
--- a/tests/request/test_history.py
+++ b/tests/request/test_history.py
@@ -97,7 +97,7 @@
     def toggle_link(self) -> None:
         addresses = sorted(self.cell.network.handlers_by_address)
         pair = self.random.choice(addresses), self.random.choice(addresses)
-        self.cell.network.cuts ^= {pair}
+        self.cell.network.blocked_links ^= {pair}
 
     def toggle_log(self) -> None:
         self.cell.deployment.log.down = not self.cell.deployment.log.down
--- a/tests/request/test_limit.py
+++ b/tests/request/test_limit.py
@@ -80,7 +80,7 @@
     for thread in threads:
         thread.join(JOIN_TIMEOUT_S)
     assert all(outcome.is_ok() for outcome in outcomes)
-    assert cell.backends.most_in_flight_by_server == {"norte-runner-1": 3}
+    assert cell.backends.max_in_flight_by_server == {"norte-runner-1": 3}
 
 
 def test_concurrency_limit_bounds_the_queue(
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -104,7 +104,7 @@
 ) -> None:
     cell = make_cell(RequestCellShape(("norte", "centro", "sur"), backends=1))
     cell.backends.down = {"norte-runner-1"}
-    cell.network.cuts.add(("10.0.0.1:8082", "10.0.0.2:8082"))
+    cell.network.blocked_links.add(("10.0.0.1:8082", "10.0.0.2:8082"))
     assert _server_of(cell.execute()).startswith("sur")
 
 
@@ -134,7 +134,7 @@
         "r1",
         "r2",
     ]
-    assert cell.backends.most_in_flight_by_server == {"norte-runner-1": 1}
+    assert cell.backends.max_in_flight_by_server == {"norte-runner-1": 1}
 
 
 def test_router_refuses_at_once_when_the_wait_exceeds_the_timeout(
@@ -278,7 +278,7 @@
     assert sum(outcome.is_ok() for outcome in outcomes) == len(
         cell.backends.history
     )
-    assert max(cell.backends.most_in_flight_by_server.values()) <= 2
+    assert max(cell.backends.max_in_flight_by_server.values()) <= 2
     assert all(
         outcome.unwrap_err().verdict is Verdict.NOT_RUN
         for outcome in outcomes
