--- a/src/magnoliapitch/job/__init__.py
+++ b/src/magnoliapitch/job/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: sets of tasks that run on workers."""
+"""Jobs, which are sets of identical tasks that run on workers."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/job/attempt.py
+++ b/src/magnoliapitch/job/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a task, from its placement to its recorded end."""
+"""State of one attempt of a task, from placement to its recorded end."""
 
 from __future__ import annotations
 
@@ -15,14 +15,23 @@
 
 
 class TaskKey(NamedTuple):
-    """Identifies a task over all its attempts."""
+    """Identity of a task, the same for all its attempts.
+
+    :param task: number of the task in its job, from 0.
+    """
 
     job_id: str
     task: int
 
 
 class AttemptState(StrEnum):
-    """What is known of an attempt."""
+    """What an owner knows of an attempt.
+
+    - ``PLACED``: assigned to a worker, but no grant has been sent.
+    - ``SENT``: the grant was sent; the worker may or may not have it.
+    - ``LISTED``: the worker has reported the lease.
+    - ``ENDED``: it certainly runs no more, but its end is not recorded yet.
+    """
 
     PLACED = "placed"
     SENT = "sent"
@@ -33,10 +42,14 @@
 class Attempt:
     """An attempt that may run on a worker, or whose end is not recorded.
 
-    :ivar expires_at_ms: latest expiry that its lease can have, on the
-        worker's clock.
-    :ivar boot_id: boot of the worker that the lease was granted on.
-    :ivar outcome: how it ended.
+    :ivar task: scheduler's request for the task, whose ``task_id`` is the
+        lease id of the attempt.
+    :ivar reserved: resources that are reserved on the worker.
+    :ivar payload: opaque input of the task.
+    :ivar boot_id: boot of the worker for which the lease was granted.
+    :ivar expires_at_ms: latest expiry that the lease can have, in
+        milliseconds of the worker's clock.
+    :ivar outcome: how the attempt ended, ``None`` before.
     """
 
     __slots__ = (
@@ -71,26 +84,36 @@
 
     @property
     def key(self) -> TaskKey:
-        """The task that this is an attempt of."""
+        """Key of the task that this attempt belongs to."""
         return TaskKey(self.name.job_id, self.name.task)
 
     def mark_sent(self, boot_id: str, expires_at_ms: int) -> None:
-        """Note that its grant leaves now."""
+        """Record that the grant is being sent to the worker.
+
+        :param expires_at_ms: expiry of the lease on the worker's clock.
+        """
         self.state = AttemptState.SENT
         self.boot_id = boot_id
         self.expires_at_ms = expires_at_ms
 
     def mark_listed(self, boot_id: str, expires_at_ms: int) -> None:
-        """Note that the worker listed its lease."""
+        """Record that the worker has reported the lease.
+
+        :param expires_at_ms: reported expiry on the worker's clock.
+        """
         self.state = AttemptState.LISTED
         self.boot_id = boot_id
         self.extend(expires_at_ms)
 
     def extend(self, expires_at_ms: int) -> None:
-        """Note an expiry that its lease may get."""
+        """Record an expiry that a renewal may give to the lease.
+
+        :param expires_at_ms: time of the worker's clock; an earlier one
+            than the latest known changes nothing.
+        """
         self.expires_at_ms = max(self.expires_at_ms, expires_at_ms)
 
     def mark_ended(self, outcome: TaskOutcome) -> None:
-        """Note that it surely runs no more."""
+        """Record that the attempt certainly runs no more."""
         self.state = AttemptState.ENDED
         self.outcome = outcome
--- a/src/magnoliapitch/job/backlog.py
+++ b/src/magnoliapitch/job/backlog.py
@@ -1,4 +1,4 @@
-"""Tasks that wait to be handed to the scheduler, following the fold."""
+"""Tasks that wait to be submitted to the scheduler."""
 
 from __future__ import annotations
 
@@ -31,7 +31,11 @@
 
 
 class Backlog:
-    """Turns jobs into task requests, a bounded number at a time."""
+    """Turns jobs into task requests, a bounded number at a time.
+
+    A task is either scheduled here for submission at a certain time, or
+    submitted to the scheduler and kept here until it is placed.
+    """
 
     def __init__(self) -> None:
         self._submitted_by_job: dict[str, dict[int, TaskRequest]] = {}
@@ -39,15 +43,24 @@
         self._scheduled_tasks: list[tuple[int, TaskKey]] = []
 
     def add_job(self, job_id: str) -> None:
-        """Hand over every unfinished task of a job."""
+        """Queue every unfinished task of a job for submission."""
         self._unsubmitted_jobs.append((job_id, 0))
 
     def add_task(self, key: TaskKey, due_ms: int) -> None:
-        """Hand over one task when it is due."""
+        """Queue one task for submission at a given time.
+
+        :param due_ms: local monotonic time, in milliseconds.
+        """
         heapq.heappush(self._scheduled_tasks, (due_ms, key))
 
     def retry(self, key: TaskKey, job: JobRecord, now_ms: int) -> None:
-        """Hand over a task again, later after each failure."""
+        """Queue a task whose attempt has ended for submission again.
+
+        After a failure the delay grows exponentially with the number of
+        attempts; any other task is due at once.
+
+        :param now_ms: local monotonic time, in milliseconds.
+        """
         delay_ms = 0
         if job.ended_by_task.get(key.task) is TaskOutcome.FAILED:
             attempt_count = min(job.attempts_by_task.get(key.task, 1), 16)
@@ -57,11 +70,14 @@
         self.add_task(key, now_ms + delay_ms)
 
     def forget_job(self, job_id: str) -> None:
-        """Drop what the scheduler has been told to drop."""
+        """Remove the requests of a job that the scheduler has cancelled."""
         self._submitted_by_job.pop(job_id, None)
 
     def pop(self, key: TaskKey) -> TaskRequest | None:
-        """Return and remove a task that the scheduler has placed."""
+        """Remove and return the request of a task that was placed.
+
+        :return: ``None`` if the task was not submitted or is cancelled.
+        """
         request_by_task = self._submitted_by_job.get(key.job_id)
         if request_by_task is None:
             return None
@@ -71,12 +87,12 @@
         return request
 
     def record_submitted(self, key: TaskKey, request: TaskRequest) -> None:
-        """Keep a task that was placed but not started."""
+        """Record that a task is submitted to the scheduler."""
         request_by_task = self._submitted_by_job.setdefault(key.job_id, {})
         request_by_task[key.task] = request
 
     def is_queued(self, key: TaskKey) -> bool:
-        """Return whether the scheduler has the task in its queue."""
+        """Return whether the task is in the scheduler's queue."""
         return key.task in self._submitted_by_job.get(key.job_id, {})
 
     def take_due_requests(
@@ -86,10 +102,14 @@
         active_tasks: Container[TaskKey],
         now_ms: int,
     ) -> tuple[TaskRequest, ...]:
-        """Return tasks to submit now.
+        """Return the requests of tasks that are due and may start.
+
+        The caller submits them to the scheduler.
 
-        :param owned_units: owned units.
-        :param active_tasks: tasks with an attempt that has not surely ended.
+        :param owned_units: racks that this instance owns.
+        :param active_tasks: tasks with an attempt that may still run or
+            whose end is not recorded.
+        :param now_ms: local monotonic time, in milliseconds.
         """
         ready_by_job: dict[str, list[TaskKey]] = {}
         for key in dict.fromkeys(self._pop_due(state, now_ms)):
@@ -117,7 +137,11 @@
         active_tasks: Container[TaskKey],
         now_ms: int,
     ) -> list[TaskRequest]:
-        """Return the requests of one job's tasks, and keep them."""
+        """Return the requests of tasks of one job and record them.
+
+        While the job's catalogue entry does not exist, its tasks are
+        scheduled to be tried again later.
+        """
         versioned_entry = state.catalogue_by_name.get(job.spec.entry)
         if versioned_entry is None:
             for key in keys:
@@ -141,10 +165,14 @@
         ready_count: int,
         active_tasks: Container[TaskKey],
     ) -> int:
-        """Return how many tasks of a gang start together.
+        """Return how many tasks of a gang must start together.
+
+        These are all its tasks until one of them has been attempted.
+        Afterwards only tasks that were lost start again, to rejoin those
+        that run or have finished. They start together with other tasks of
+        the gang that wait in the scheduler's queue.
 
-        All of them at first. Later the tasks that were lost join those
-        that run or have finished, together with what else waits then.
+        :param ready_count: tasks of the gang that are due now.
         """
         job_id = job.spec.job_id
         has_started = bool(job.attempts_by_task) or any(
--- a/src/magnoliapitch/job/call.py
+++ b/src/magnoliapitch/job/call.py
@@ -1,4 +1,4 @@
-"""Makes the calls that a channel has planned."""
+"""Execution of the worker calls that a channel has planned."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 def perform_call(
     workers: WorkerPool, worker: InstanceInfo, call: PlannedCall
 ) -> WorkerOutcome:
-    """Make a planned call; runs in any thread."""
+    """Call a worker as planned and return its reply.
+
+    This may run in any thread.
+    """
     match call.kind:
         case CallKind.CLAIM | CallKind.START:
             return workers.start(worker, call.grants)
--- a/src/magnoliapitch/job/channel.py
+++ b/src/magnoliapitch/job/channel.py
@@ -1,4 +1,4 @@
-"""What an owner has to tell one worker, one call at a time."""
+"""Exchange of a rack's owner with one worker, one call at a time."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CallKind(StrEnum):
-    """Calls to a worker."""
+    """Kinds of calls to a worker."""
 
     VIEW = "view"
     CLAIM = "claim"
@@ -40,9 +40,13 @@
 
 
 class PlannedCall(NamedTuple):
-    """The next call to a worker.
+    """The next call to a worker, with the arguments that its kind needs.
 
-    :param expires_at_ms: expiry of renewed leases.
+    :param lease_ids: leases that the call concerns.
+    :param grants: leases to start.
+    :param expires_at_ms: new expiry of renewed leases, in milliseconds of
+        the worker's clock.
+    :param cpu_millis: processor bound of a throttled task.
     """
 
     kind: CallKind
@@ -55,12 +59,19 @@
 class WorkerChannel:
     """State of the exchange with one worker of an owned rack.
 
-    :ivar attempts_by_lease: attempts that may run there, or whose end is
-        not yet recorded.
-    :ivar starts: lease ids of placed attempts to be granted.
-    :ivar stops: lease ids to be ended.
-    :ivar in_flight: the call that has not been answered.
-    :ivar failures: calls that failed in a row.
+    At most one call is in flight. Orders that wait for their call are kept
+    in the ``pending_*`` attributes, in the order of their arrival.
+
+    :param may_keep_tasks: returns whether leases of a catalogue entry's
+        tasks may be renewed at a local monotonic time.
+    :ivar attempts_by_lease: attempts that may run on the worker, or whose
+        end is not recorded yet.
+    :ivar pending_starts: lease ids of placed attempts to grant.
+    :ivar pending_stops: ids of leases to end.
+    :ivar pending_checkpoints: ids of leases to checkpoint and end.
+    :ivar pending_throttles_by_lease: processor bounds to set.
+    :ivar in_flight: call that has no reply yet.
+    :ivar consecutive_failures: number of calls that failed in a row.
     """
 
     def __init__(
@@ -84,15 +95,17 @@
 
     @property
     def accepts_starts(self) -> bool:
-        """Whether tasks can be placed here now."""
+        """Whether new leases can be granted on the worker now."""
         return self.fence.is_open and not self.consecutive_failures
 
     def plan_call(
         self, now_ms: int, confirmed_ms: int | None
     ) -> PlannedCall | None:
-        """Return the next call, if one is due.
+        """Return the next call, or ``None`` if none is due.
 
-        :param confirmed_ms: start of the newest complete read of the log.
+        :param now_ms: local monotonic time, in milliseconds.
+        :param confirmed_ms: local monotonic time at which the newest
+            complete read of the log began, if there was one.
         """
         if self.in_flight is not None:
             return None
@@ -113,7 +126,7 @@
         return None
 
     def record_reply(self, now_ms: int) -> None:
-        """Note that a call was answered."""
+        """Record that the worker replied, and schedule the next poll."""
         self.in_flight = None
         self.consecutive_failures = 0
         is_busy = bool(self.attempts_by_lease) or not self.fence.is_open
@@ -122,7 +135,10 @@
         )
 
     def record_failure(self, now_ms: int) -> None:
-        """Note that a call failed; the worker is polled ever less often."""
+        """Record that a call failed, and delay the next one.
+
+        The delay doubles with each failure in a row up to a maximum.
+        """
         self.in_flight = None
         delay_ms = min(
             RETRY_DELAY_MIN_MS << min(self.consecutive_failures, 8),
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -1,4 +1,4 @@
-"""Runs the jobs that are assigned to the owned racks."""
+"""Execution of the jobs of the racks that this instance owns."""
 
 from __future__ import annotations
 
@@ -54,10 +54,19 @@
 
 
 class JobManager:
-    """Drives tasks from submission to their recorded end.
-
-    One thread, or a test, calls :meth:`step`; the scheduler is only
-    called under a lock.
+    """Drives tasks of owned racks from submission to their recorded end.
+
+    One thread, or a test, calls :meth:`step`. The scheduler is only called
+    under a lock.
+
+    :param claimer: claims racks for this instance.
+    :param workers: calls to workers.
+    :param presence_lease: says which tasks this instance may still grant
+        and renew leases for.
+    :param runner: makes the calls to workers, by default at once in the
+        thread that calls :meth:`step`.
+    :param lease_ttl_ms: duration of task leases, in milliseconds; at most
+        the longest that all instances assume.
     """
 
     def __init__(
@@ -94,7 +103,7 @@
         self._lock = threading.Lock()
 
     def step(self) -> int:
-        """Observe workers, queue new tasks and start what fits.
+        """Process replies, queue due tasks and start those that fit.
 
         :return: milliseconds until the next step.
         """
@@ -103,7 +112,7 @@
         return STEP_INTERVAL_MS
 
     def explain(self, job_id: str) -> Explanation | None:
-        """Tell why a job of an owned unit waits; any thread may ask."""
+        """Return why a job of an owned rack waits; any thread may call."""
         with self._lock:
             return self._scheduler.explain(job_id, self._clock.now_ms())
 
@@ -219,7 +228,11 @@
         self._scheduler.remove_worker(worker_id)
 
     def _release_units(self) -> None:
-        """Give up racks on which no grant is in flight or unsure."""
+        """Release racks that are to be handed over and have settled.
+
+        A rack is kept while a grant to one of its workers may be in flight,
+        so that its next owner finds every lease in the workers' views.
+        """
         for name, unit in self._units_by_name.items():
             if not unit.is_releasing or not unit.is_settled:
                 continue
--- a/src/magnoliapitch/job/spec.py
+++ b/src/magnoliapitch/job/spec.py
@@ -1,4 +1,4 @@
-"""What callers submit as a job, and names of its task attempts."""
+"""Job specifications, and lease ids of the attempts of their tasks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 
 def _check_resources(resources: Resources) -> Resources:
     if min(resources) < 0 or max(resources) > RESOURCE_AMOUNT_MAX:
-        raise ValueError(f"each part must be from 0 to {RESOURCE_AMOUNT_MAX}")
+        raise ValueError(
+            f"each amount must be from 0 to {RESOURCE_AMOUNT_MAX}"
+        )
     return resources
 
 
@@ -37,9 +39,10 @@
     :param job_id: unique id; submitting the same id again is idempotent.
     :param entry: catalogue entry that the job belongs to.
     :param tasks: number of identical tasks.
-    :param resources: declared resources of each task.
-    :param run_ms: declared run time of each task, in milliseconds.
-    :param deadline_ms: wanted completion after submission, 0 for none.
+    :param resources: resources that each task reserves.
+    :param run_ms: expected run time of each task, in milliseconds.
+    :param deadline_ms: time from submission within which the job should
+        complete, in milliseconds; 0 means no deadline.
     :param payload: opaque input of every task.
     """
 
@@ -53,7 +56,10 @@
 
 
 class TaskOutcome(StrEnum):
-    """How one attempt of a task ended."""
+    """How one attempt of a task ended.
+
+    - ``LOST``: it never started, or its lease ended without a result.
+    """
 
     FINISHED = "finished"
     FAILED = "failed"
@@ -62,7 +68,11 @@
 
 
 class AttemptName(NamedTuple):
-    """Identifies one attempt of one task of a job."""
+    """Identity of one attempt of one task of a job.
+
+    :param task: number of the task in its job, from 0.
+    :param attempt: number of the attempt, from 0.
+    """
 
     job_id: str
     task: int
@@ -75,7 +85,7 @@
 
 
 def parse_lease_id(lease_id: str) -> AttemptName | None:
-    """Return the attempt that a lease id names, if it names one."""
+    """Return the task attempt of a lease id, ``None`` for other leases."""
     match = _LEASE_ID.fullmatch(lease_id)
     if match is None:
         return None
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -1,4 +1,4 @@
-"""Attempts of the owned racks, and what replies and the fold say of them."""
+"""Tracking of the attempts of owned racks until their end is recorded."""
 
 from __future__ import annotations
 
@@ -39,10 +39,13 @@
 
 
 class AttemptTracker:
-    """Knows every attempt that may run or whose end is not recorded.
+    """Tracks every attempt that may run or whose end is not recorded.
 
-    The next attempt of a task is only handed over once every earlier one
-    has surely ended and the fold has recorded_attempts its end.
+    It compares them with the workers' views and with the job records of the
+    journal. The next attempt of a task is only queued when every earlier one
+    has certainly ended and the journal has applied the record of its end.
+
+    ``key in tracker`` tells whether a task has such an attempt.
     """
 
     def __init__(
@@ -65,7 +68,7 @@
         return key in self._attempts_by_task
 
     def lease_ids(self) -> tuple[str, ...]:
-        """Return the lease ids of all attempts."""
+        """Return the lease ids of all tracked attempts."""
         return tuple(
             attempt.task.task_id
             for attempt_by_number in self._attempts_by_task.values()
@@ -73,13 +76,13 @@
         )
 
     def add(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        """Track an attempt on a worker."""
+        """Start to track an attempt on a worker."""
         attempt_by_number = self._attempts_by_task.setdefault(attempt.key, {})
         attempt_by_number[attempt.name.attempt] = attempt
         channel.attempts_by_lease[attempt.task.task_id] = attempt
 
     def has_unconfirmed_grant(self, channel: WorkerChannel) -> bool:
-        """Return whether a grant may still arrive at a worker."""
+        """Return whether a grant is unsent or not confirmed by the worker."""
         return any(
             attempt.state in (AttemptState.PLACED, AttemptState.SENT)
             for attempt in channel.attempts_by_lease.values()
@@ -88,7 +91,11 @@
     def observe(
         self, channel: WorkerChannel, view: WorkerView, now_ms: int
     ) -> None:
-        """Compare a worker's view with the attempts on it."""
+        """Update the attempts on a worker from its view.
+
+        Leases of tasks that are not tracked, for example those granted by an
+        earlier owner, are adopted unless a later owner has claimed the rack.
+        """
         leases_by_id = {
             lease.lease_id: lease
             for lease in view.leases
@@ -113,9 +120,12 @@
         is_not_run: bool,
         now_ms: int,
     ) -> None:
-        """Take back a start that surely did not reach the worker.
+        """Queue attempts again whose start call failed without effect.
 
-        Otherwise its attempts count as running until a view shows more.
+        Otherwise they count as running until a view of the worker tells
+        more or their leases have expired.
+
+        :param is_not_run: whether the call certainly did not take effect.
         """
         if not is_not_run:
             return
@@ -125,7 +135,7 @@
                 self.requeue(channel, attempt, now_ms)
 
     def requeue_unsent(self, channel: WorkerChannel, now_ms: int) -> None:
-        """Take back every placement that has not been sent."""
+        """Queue every placed attempt again whose grant was not sent."""
         lease_ids, channel.pending_starts = tuple(channel.pending_starts), {}
         for lease_id in lease_ids:
             attempt = channel.attempts_by_lease.get(lease_id)
@@ -135,7 +145,10 @@
     def requeue_without_presence(
         self, channel: WorkerChannel, now_ms: int
     ) -> None:
-        """Take back placements that the owner may not grant any more."""
+        """Queue placed attempts again that this owner may not grant now.
+
+        Its presence lease does not cover their catalogue entry.
+        """
         for lease_id in tuple(channel.pending_starts):
             attempt = channel.attempts_by_lease.get(lease_id)
             if attempt is not None and not self._may_keep(attempt):
@@ -146,9 +159,10 @@
     def requeue(
         self, channel: WorkerChannel, attempt: Attempt, now_ms: int
     ) -> None:
-        """Queue an attempt again that surely never started.
+        """Queue the task of an attempt again that certainly never started.
 
-        :param now_ms: time from which it may be placed.
+        :param now_ms: local monotonic time from which the task may be placed
+            again, in milliseconds.
         """
         self._remove(channel, attempt)
         lease_id = attempt.task.task_id
@@ -156,7 +170,7 @@
         self._backlog.add_task(attempt.key, now_ms)
 
     def remove_channel(self, channel: WorkerChannel, now_ms: int) -> None:
-        """Forget the attempts of a worker that is not owned any more."""
+        """Stop tracking the attempts of a worker that is no longer owned."""
         for attempt in list(channel.attempts_by_lease.values()):
             self._remove(channel, attempt)
             if attempt.state is not AttemptState.ENDED:
@@ -168,7 +182,7 @@
     def end_expired_unreachable(
         self, channels_by_worker: Mapping[str, WorkerChannel], now_ms: int
     ) -> None:
-        """End attempts whose leases have surely expired out of reach."""
+        """End attempts on unreachable workers whose leases expired."""
         for channel in channels_by_worker.values():
             if (
                 not channel.consecutive_failures
@@ -193,9 +207,13 @@
         *,
         is_waiting: bool,
     ) -> None:
-        """Act on the recorded end of an attempt.
+        """Process the recorded end of an attempt of a task.
+
+        The lease of the attempt is ended on its worker. The task is queued
+        again if no attempt is left.
 
-        :param is_waiting: whether the task waits for its rack to settle.
+        :param job: record of the job, with the end applied.
+        :param is_waiting: whether the job waits until its rack is settled.
         """
         self._pending_ends_by_task.pop(key, None)
         recorded_attempts = job.attempts_by_task.get(key.task, 0)
@@ -215,7 +233,7 @@
         channels_by_worker: Mapping[str, WorkerChannel],
         lease_ids: Iterable[str],
     ) -> None:
-        """Stop attempts, wherever they run."""
+        """Request the end of leases on the workers that they run on."""
         for lease_id in lease_ids:
             name = parse_lease_id(lease_id)
             if name is None:
@@ -280,7 +298,13 @@
         self._record_end(channel, attempt)
 
     def _record_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        """Record an end until the fold has recorded_attempts it."""
+        """Enqueue the record of an end, unless it is applied or pending.
+
+        It is called again with every view, and enqueues the record again if
+        the previous one ended without being applied. The end of a lost
+        attempt is not recorded while the presence lease does not cover the
+        task.
+        """
         key = attempt.key
         with self._journal.reading() as state:
             job = state.jobs_by_id.get(key.job_id)
@@ -360,7 +384,7 @@
 
 
 def _outcome_of(task: TaskRequest, lease: LeaseView) -> TaskOutcome:
-    """Return how a lease ended; a service that ends has failed."""
+    """Return how a lease ended; for a service any end is a failure."""
     is_service = task.work_class is WorkClass.SERVICE
     if lease.state is LeaseState.FINISHED and not is_service:
         return TaskOutcome.FINISHED
--- a/src/magnoliapitch/standin/__init__.py
+++ b/src/magnoliapitch/standin/__init__.py
@@ -1,4 +1,7 @@
-"""Small in-memory stand-ins for the platform, workers and backends."""
+"""In-memory stand-ins for the platform, workers and backend servers.
+
+Tests, benchmarks and the commands ``dev`` and ``demo`` use them.
+"""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/standin/audit.py
+++ b/src/magnoliapitch/standin/audit.py
@@ -1,4 +1,4 @@
-"""Stand-in workers that check every start against the promises."""
+"""Stand-in workers that check guarantees at every start."""
 
 from __future__ import annotations
 
@@ -24,9 +24,11 @@
 
 
 class AuditedWorkers(StandinWorkers):
-    """Workers that note when capacity or singleness is broken.
+    """Workers that record violations of two guarantees.
 
-    Unreachable workers count too, since their tasks run on.
+    The tasks on a worker never reserve more than its capacity, and a task
+    never runs on two workers at once. Unreachable workers are checked too,
+    since their tasks continue to run.
     """
 
     def __init__(
@@ -41,7 +43,7 @@
     def start(
         self, worker: InstanceInfo, grants: tuple[LeaseGrant, ...]
     ) -> Result[WorkerView, Failure]:
-        """Start tasks and check all workers."""
+        """Start leases and check the guarantees afterwards."""
         outcome = super().start(worker, grants)
         with self._lock:
             self._check_capacity(self.by_id[worker.instance_id])
@@ -49,11 +51,14 @@
         return outcome
 
     def problems(self) -> tuple[str, ...]:
-        """Return what was broken, without repetition."""
+        """Return descriptions of the violations, each once."""
         return tuple(dict.fromkeys(self._problems))
 
     def cpu_share_in_use(self) -> float:
-        """Return the share of all processors that tasks use now."""
+        """Return the share of all workers' processors that tasks reserve now.
+
+        :return: a share from 0 to 1.
+        """
         with self._lock:
             used = 0
             capacity = 0
@@ -63,7 +68,7 @@
         return used / capacity
 
     def find_running_worker(self) -> str | None:
-        """Return the id of a reachable worker that runs a task."""
+        """Return the id of a reachable worker that runs a task, if any."""
         with self._lock:
             for worker_id, target in self.by_id.items():
                 if not target.down and target.used().cpu_millis:
@@ -74,7 +79,10 @@
         used = target.used()
         if not used.fits(target.info.capacity):
             worker_id = target.info.instance_id
-            self._problems.append(f"{worker_id} holds {used}")
+            self._problems.append(
+                f"tasks on {worker_id} reserve {used}; "
+                f"its capacity is {target.info.capacity}"
+            )
 
     def _check_single_worker(self) -> None:
         worker_by_task: dict[tuple[str, int], str] = {}
@@ -91,6 +99,6 @@
                 other_id = worker_by_task.setdefault(task, worker_id)
                 if other_id != worker_id:
                     self._problems.append(
-                        f"task {name.task} of {name.job_id} runs on {other_id} "
-                        f"and {worker_id}"
+                        f"task {name.task} of {name.job_id} runs on "
+                        f"{other_id} and {worker_id}"
                     )
--- a/src/magnoliapitch/standin/backend.py
+++ b/src/magnoliapitch/standin/backend.py
@@ -1,4 +1,4 @@
-"""In-memory backend servers."""
+"""In-memory stand-ins for backend servers, with faults to inject."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Execution(NamedTuple):
-    """History entry: a request was executed on a server."""
+    """Record of a request that was executed on a server."""
 
     server_id: str
     request_id: str
@@ -41,7 +41,17 @@
 
 
 class BackendFault(StrEnum):
-    """What goes wrong with one call."""
+    """Fault of one call to a server.
+
+    - ``REFUSE``: the server is overloaded and does not run the request.
+    - ``REFUSE_CONNECTION``: the connection is refused.
+    - ``LOSE_ANSWER``: the request runs, but its response never arrives.
+    - ``TRUNCATE_ANSWER``: the request runs, but its response is cut short.
+    - ``ANNOUNCE_LEAVING``: the request runs, and the response says that the
+      server is shutting down.
+    - ``REFUSE_LEAVING``: the server is shutting down and does not run the
+      request.
+    """
 
     REFUSE = "refuse"
     REFUSE_CONNECTION = "refuse-connection"
@@ -52,16 +62,19 @@
 
 
 class StandinBackends:
-    """Executes requests by answering with the request's id and body.
+    """Backend client that executes requests by echoing their id and body.
 
     :ivar down: ids of servers that refuse connections.
-    :ivar leaving: ids of servers that refuse new work as leaving.
-    :ivar faults_by_server: faults of the next calls of a server.
-    :ivar duration_ms: how long a request runs.
+    :ivar leaving: ids of servers that refuse requests because they are
+        shutting down.
+    :ivar faults_by_server: faults of the next calls to each server.
+    :ivar duration_ms: run time of each request, in milliseconds.
     :ivar on_send: called with the server's id before each call.
-    :ivar observer: called with request id, server id and whether the
-        request starts or ends.
-    :ivar max_in_flight_by_server: highest concurrency seen.
+    :ivar observer: called with the request's id, the server's id and whether
+        the request starts (``True``) or ends.
+    :ivar history: executed requests in the order of their starts.
+    :ivar max_in_flight_by_server: largest number of requests that ran at
+        once on each server.
     """
 
     def __init__(self, clock: Clock | None = None) -> None:
@@ -79,13 +92,13 @@
         self._lock = threading.Lock()
 
     def add_fault(self, server_id: str, fault: BackendFault) -> None:
-        """Let the next call of a server go wrong."""
+        """Add a fault for the next call to a server that has none yet."""
         self.faults_by_server.setdefault(server_id, deque()).append(fault)
 
     def send(
         self, server: InstanceInfo, request: BackendRequest
     ) -> Result[BackendResponse, Failure]:
-        """Execute one request."""
+        """Execute one request, with the next fault of the server if any."""
         server_id = server.instance_id
         if self.on_send is not None:
             self.on_send(server_id)
@@ -110,11 +123,17 @@
         self, server_id: str, fault: BackendFault | None
     ) -> Failure | None:
         if server_id in self.down or fault is BackendFault.REFUSE_CONNECTION:
-            return not_run(FailureCode.UNAVAILABLE, "connection refused")
+            return not_run(
+                FailureCode.UNAVAILABLE, f"{server_id} refused the connection"
+            )
         if server_id in self.leaving or fault is BackendFault.REFUSE_LEAVING:
-            return not_run(FailureCode.SHUTTING_DOWN, "server is leaving")
+            return not_run(
+                FailureCode.SHUTTING_DOWN, f"{server_id} is shutting down"
+            )
         if fault is BackendFault.REFUSE:
-            return not_run(FailureCode.OVERLOADED, "server refused")
+            return not_run(
+                FailureCode.OVERLOADED, f"{server_id} refused the request"
+            )
         return None
 
     def _respond(
@@ -125,9 +144,18 @@
     ) -> Result[BackendResponse, Failure]:
         if fault is BackendFault.LOSE_ANSWER:
             self._clock.wait(self._never, request.timeout_ms)
-            return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
+            return Err(
+                may_have_run(
+                    FailureCode.TIMEOUT, f"{server_id} did not respond"
+                )
+            )
         if fault is BackendFault.TRUNCATE_ANSWER:
-            return Err(may_have_run(FailureCode.TRUNCATED, "half an answer"))
+            return Err(
+                may_have_run(
+                    FailureCode.TRUNCATED,
+                    f"the response of {server_id} is truncated",
+                )
+            )
         is_leaving = fault is BackendFault.ANNOUNCE_LEAVING
         body = _response_body(server_id, request)
         return Ok(BackendResponse(200, body, is_leaving))
--- a/src/magnoliapitch/standin/caller.py
+++ b/src/magnoliapitch/standin/caller.py
@@ -1,4 +1,4 @@
-"""Callers that send small requests and check their answers."""
+"""Concurrent callers that send small requests and check the responses."""
 
 from __future__ import annotations
 
@@ -26,14 +26,16 @@
 
 
 class RequestOutcome(NamedTuple):
-    """What became of one small request.
+    """Outcome of one small request after all its attempts.
 
-    :param request_id: id of the request; an attempt adds its number.
-    :param answered: whether the complete own response came.
+    :param request_id: id of the request; each attempt appends its number.
+    :param entry: catalogue entry of the request.
+    :param answered: whether the complete response to this request arrived.
     :param not_run_ids: ids of attempts with the verdict ``not_run``.
-    :param may_have_run: whether an attempt ended as ``may_have_run``.
-    :param problem: what was wrong with an response, or empty.
-    :param elapsed_ms: time until the response, with every attempt.
+    :param may_have_run: whether the last attempt failed with another verdict.
+    :param problem: what was wrong with the response, or empty.
+    :param elapsed_ms: milliseconds from the first attempt to the last
+        response.
     """
 
     request_id: str
@@ -46,9 +48,9 @@
 
 
 class RequestSender:
-    """Sends planned requests from several callers at once.
+    """Sends planned requests from several threads.
 
-    :param urls: base URLs of the callers' interfaces.
+    :param urls: base URLs at which entry instances serve callers.
     """
 
     def __init__(self, urls: Sequence[str]) -> None:
@@ -56,12 +58,16 @@
         self._pool = urllib3.PoolManager(maxsize=CALLER_COUNT, retries=False)
 
     def send_all(self, plans: Sequence[RequestPlan]) -> list[RequestOutcome]:
-        """Send every planned request and return what became of each."""
+        """Send every planned request and return the outcomes.
+
+        Attempts with the verdict ``not_run`` are repeated at the next URL.
+        """
         names = [
             (f"{plan.entry}-{number}", plan.entry)
             for plan in plans
             for number in range(plan.requests)
         ]
+        # Sorting by the reversed id mixes the requests of all entries.
         names.sort(key=lambda name: name[0][::-1])
         with ThreadPoolExecutor(CALLER_COUNT) as callers:
             return list(callers.map(self._send, range(len(names)), names))
@@ -109,11 +115,11 @@
 
 def _problem_of(response: urllib3.BaseHTTPResponse, attempt_id: str) -> str:
     if response.headers.get(REQUEST_ID_HEADER) != attempt_id:
-        return f"{attempt_id}: the response repeats another id"
+        return f"{attempt_id}: the response carries the id of another request"
     try:
         echo = response.json()["echo"]
     except (orjson.JSONDecodeError, KeyError, ValueError):
-        return f"{attempt_id}: the response is not complete"
+        return f"{attempt_id}: the response body is incomplete"
     if echo != f"body of {attempt_id}":
-        return f"{attempt_id}: the response is to another request"
+        return f"{attempt_id}: the response body belongs to another request"
     return ""
--- a/src/magnoliapitch/standin/cluster.py
+++ b/src/magnoliapitch/standin/cluster.py
@@ -1,4 +1,4 @@
-"""A complete deployment in one process: entries and stand-ins."""
+"""A complete cluster in one process: entry instances and stand-ins."""
 
 from __future__ import annotations
 
@@ -29,9 +29,14 @@
 
 
 class ClusterShape(NamedTuple):
-    """Sizes of a deployment.
-
-    :param zones: availability zones; each has one rack and one group.
+    """Zones and sizes of a cluster.
+
+    :param zones: availability zones; each has one rack of workers and one
+        group of backend servers.
+    :param app: application of the backend servers.
+    :param capacity: resources of each worker.
+    :param slots: requests that a backend server executes at once.
+    :param connections: connections that a backend server accepts.
     """
 
     zones: tuple[str, ...]
@@ -44,10 +49,11 @@
 
 
 class ClusterOptions(NamedTuple):
-    """What may differ between cells of the same shape.
+    """Options of a cluster apart from its shape.
 
-    :param timing: timing of every entry.
-    :param caller_threads: callers that an entry serves at once.
+    :param timing: timing settings of every entry instance.
+    :param caller_threads: threads with which an entry instance serves
+        callers.
     :param worker_pool: class of the stand-in workers.
     """
 
@@ -57,7 +63,7 @@
 
 
 class StandinCluster:
-    """Stand-ins of a deployment, and entries that use them directly."""
+    """Stand-ins of a cluster, and entry instances that call them directly."""
 
     def __init__(
         self,
@@ -79,9 +85,10 @@
     def add_entry(
         self, zone: str, backends: BackendClient | None = None
     ) -> EntryNode:
-        """Build an entry instance in a zone; the caller starts it.
+        """Create an entry instance in a zone without starting it.
 
-        :param backends: client of backend servers instead of direct calls.
+        :param backends: client with which the instance calls backend
+            servers, by default the stand-in itself.
         """
         number = len(self.entries) + 1
         ports = free_ports(3)
@@ -109,7 +116,10 @@
 
 
 def free_ports(count: int) -> tuple[int, ...]:
-    """Return loopback ports that were free a moment ago."""
+    """Return different loopback ports that nothing is bound to now.
+
+    Another process may bind them before the caller does.
+    """
     sockets = [socket.socket() for _ in range(count)]
     try:
         for item in sockets:
--- a/src/magnoliapitch/standin/demo.py
+++ b/src/magnoliapitch/standin/demo.py
@@ -1,4 +1,4 @@
-"""Runs a deployment's workload, loses instances and checks the promises."""
+"""Demonstration: a workload during which instances fail, with checks."""
 
 from __future__ import annotations
 
@@ -46,7 +46,10 @@
 
 
 class Demo:
-    """One run of a deployment's workload."""
+    """One run of a deployment's workload.
+
+    While it runs, a worker and a backend server become unreachable.
+    """
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
@@ -62,14 +65,14 @@
         assert isinstance(workers, AuditedWorkers)
         self._workers = workers
         self._problems: list[str] = []
-        self._stopped_instances: list[str] = []
+        self._unreachable_instances: list[str] = []
         self._cpu_shares: list[float] = []
         self._jobs: list[SubmittedJob] = []
         self._done_job_ids: set[str] = set()
         self._outcomes: list[RequestOutcome] = []
 
     def run(self) -> DemoResult:
-        """Serve the workload and return its result."""
+        """Run the workload, check the guarantees and return the result."""
         self._serving.start(self._deployment.entries)
         try:
             return self._run()
@@ -78,7 +81,9 @@
 
     def _run(self) -> DemoResult:
         if not wait_until(lambda: all(map(self._is_serving, self._nodes))):
-            self._problems.append("the entries did not become ready")
+            self._problems.append(
+                f"not all entry instances were ready within {TIMEOUT_S} s"
+            )
         meter = ProcessUsageMeter()
         before = meter.read()
         self._run_workload()
@@ -100,7 +105,7 @@
             mean_cpu_share=sum(self._cpu_shares)
             / max(len(self._cpu_shares), 1),
             peak_cpu_share=max(self._cpu_shares, default=0.0),
-            stopped_instances=tuple(self._stopped_instances),
+            unreachable_instances=tuple(self._unreachable_instances),
             entries=len(self._nodes),
             usage_before=before,
             usage_after=after,
@@ -132,11 +137,11 @@
             requests = threads.submit(
                 RequestSender(urls).send_all, self._deployment.requests
             )
-            stopping = threads.submit(self._stop_instances)
+            disconnecting = threads.submit(self._disconnect_instances)
             try:
                 self._run_jobs(JobSubmitter(urls))
                 self._outcomes = requests.result()
-                stopping.result()
+                disconnecting.result()
             finally:
                 ended.set()
                 sampling.result()
@@ -175,19 +180,19 @@
             {name.task for name in names if name and name.job_id == job.job_id}
         )
 
-    def _stop_instances(self) -> None:
+    def _disconnect_instances(self) -> None:
         wait_until(lambda: self._workers.find_running_worker() is not None)
         worker_id = self._workers.find_running_worker()
         if worker_id is None:
-            self._problems.append("no worker ran a task in time")
+            self._problems.append("found no reachable worker that runs a task")
             return
         self._workers.by_id[worker_id].down = True
-        self._stopped_instances.append(worker_id)
+        self._unreachable_instances.append(worker_id)
         backends = self._serving.cluster.backends
         wait_until(lambda: len(backends.history) > 0)
         server_id = backends.history[-1].server_id
         backends.down.add(server_id)
-        self._stopped_instances.append(server_id)
+        self._unreachable_instances.append(server_id)
 
     def _sample_cpu_share(self, ended: threading.Event) -> None:
         while not ended.wait(POLL_INTERVAL_S):
@@ -233,12 +238,17 @@
                 item.entry in non_idempotent
                 and runs_by_request[item.request_id] > 1
             ):
-                self._problems.append(f"{item.request_id} ran more than once")
+                self._problems.append(
+                    f"request {item.request_id} ran more than once, "
+                    "but its entry is not idempotent"
+                )
         for plan in self._deployment.jobs:
             for number in range(plan.jobs):
                 job_id = f"{plan.entry}-{number}"
                 if job_id not in self._done_job_ids:
-                    self._problems.append(f"job {job_id} is not done")
+                    self._problems.append(
+                        f"job {job_id} did not finish in time"
+                    )
 
     def _check_outcome(
         self, item: RequestOutcome, runs_by_attempt: Counter[str]
@@ -246,9 +256,11 @@
         if item.problem:
             self._problems.append(item.problem)
         elif not item.answered and not item.may_have_run:
-            self._problems.append(f"{item.request_id} was never answered")
+            self._problems.append(
+                f"request {item.request_id} never got a response"
+            )
         self._problems.extend(
-            f"{attempt_id} was called not run, but ran"
+            f"attempt {attempt_id} had the verdict not_run, but it ran"
             for attempt_id in item.not_run_ids
             if runs_by_attempt[attempt_id]
         )
@@ -257,9 +269,10 @@
 def wait_until(
     condition: Callable[[], bool], deadline_s: float | None = None
 ) -> bool:
-    """Wait until a condition holds; return whether it did in time.
+    """Wait until a condition holds; return whether it did before a deadline.
 
-    :param deadline_s: monotonic time, by default the timeout from now.
+    :param deadline_s: monotonic time in seconds, by default ``TIMEOUT_S``
+        from now.
     """
     if deadline_s is None:
         deadline_s = time.monotonic() + TIMEOUT_S
--- a/src/magnoliapitch/standin/deployment.py
+++ b/src/magnoliapitch/standin/deployment.py
@@ -1,4 +1,4 @@
-"""Deployment files: the sizes, catalogue and workload of a stand-in cell."""
+"""Deployment files: size, catalogue and workload of a stand-in cluster."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
 
 
 class JobPlan(NamedTuple):
-    """A kind of job that the demonstration submits.
+    """Jobs of one kind that the demonstration submits.
 
     :param entry: catalogue entry of the jobs.
-    :param jobs: how many to submit.
-    :param tasks: tasks of each job.
+    :param jobs: number of jobs to submit.
+    :param tasks: number of tasks of each job.
+    :param resources: resources that each task reserves.
     :param run_ms: run time of each task, in milliseconds.
     """
 
@@ -45,10 +46,10 @@
 
 
 class RequestPlan(NamedTuple):
-    """A kind of small request that the demonstration sends.
+    """Small requests of one kind that the demonstration sends.
 
     :param entry: catalogue entry of the requests.
-    :param requests: how many to send.
+    :param requests: number of requests to send.
     """
 
     entry: str
@@ -56,16 +57,22 @@
 
 
 class Deployment(NamedTuple):
-    """A deployment and its workload.
+    """Contents of a deployment file.
 
+    :param name: name of the deployment.
+    :param region: region of the deployment.
     :param app: application of the backend servers.
     :param capacity: resources of each worker.
-    :param entries: entry instances, spread over the zones.
-    :param workers_per_zone: workers of each zone, in one rack.
-    :param backend_servers_per_zone: backend servers of each zone.
-    :param slots: requests a backend server executes at once.
-    :param connections: connections a backend server accepts.
+    :param zones: names of the availability zones.
+    :param entries: number of entry instances, spread over the zones.
+    :param workers_per_zone: number of workers of each zone, in one rack.
+    :param backend_servers_per_zone: number of backend servers of each zone.
+    :param slots: requests that a backend server executes at once.
+    :param connections: connections that a backend server accepts.
     :param request_ms: run time of a small request, in milliseconds.
+    :param requests: small requests of the workload.
+    :param jobs: jobs of the workload.
+    :param catalogue: catalogue entries.
     """
 
     name: str
@@ -84,7 +91,7 @@
     catalogue: tuple[CatalogueEntry, ...] = ()
 
     def shape(self) -> ClusterShape:
-        """Return the sizes that the stand-ins need."""
+        """Return the shape of the stand-in cluster."""
         return ClusterShape(
             self.zones,
             self.app,
@@ -100,9 +107,10 @@
 
 
 def load_deployment(path: Path) -> Deployment:
-    """Read a deployment file.
+    """Read a deployment file and check it.
 
-    :raises InvalidDeploymentError: with one line a problem.
+    :raises InvalidDeploymentError: if the file cannot be read or is not
+        valid.
     """
     try:
         entries = read_entries(path)
--- a/src/magnoliapitch/standin/exceptions.py
+++ b/src/magnoliapitch/standin/exceptions.py
@@ -1,12 +1,12 @@
-"""Errors of the stand-ins."""
+"""Exceptions of the stand-ins."""
 
 from __future__ import annotations
 
 
 class InvalidDeploymentError(ValueError):
-    """A deployment file that breaks the schema.
+    """Raised when a deployment file is not valid.
 
-    :param problems: one line a problem.
+    :param problems: one line for each problem.
     """
 
     def __init__(self, problems: tuple[str, ...]) -> None:
--- a/src/magnoliapitch/standin/instance.py
+++ b/src/magnoliapitch/standin/instance.py
@@ -1,4 +1,4 @@
-"""An in-memory list of instances."""
+"""In-memory stand-in for the platform's instance list."""
 
 from __future__ import annotations
 
@@ -18,7 +18,12 @@
 
 
 class StandinInstanceList:
-    """Returns what was last published, so it lags as the test wishes."""
+    """Instance list whose contents a test sets.
+
+    :ivar down: whether every call fails.
+    :ivar by_id: listed instances. A test changes them at any time, so it
+        decides how far the list lags behind the instances.
+    """
 
     def __init__(self, instances: tuple[InstanceInfo, ...] = ()) -> None:
         self.down = False
@@ -27,5 +32,9 @@
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
         """Return every listed instance."""
         if self.down:
-            return Err(not_run(FailureCode.UNAVAILABLE, "list is down"))
+            return Err(
+                not_run(
+                    FailureCode.UNAVAILABLE, "the instance list is unavailable"
+                )
+            )
         return Ok(tuple(self.by_id.values()))
--- a/src/magnoliapitch/standin/log.py
+++ b/src/magnoliapitch/standin/log.py
@@ -1,4 +1,4 @@
-"""An in-memory log with outages, lost answers and limited retention."""
+"""In-memory log with outages, lost responses and limited retention."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class StandinLog:
-    """Keeps records in memory.
+    """Log that keeps its records in memory.
 
     :ivar down: whether every call fails without effect.
-    :ivar answers_to_lose: appends that take effect but outcome in error.
+    :ivar answers_to_lose: number of appends to come that take effect but
+        return a failure.
     """
 
     def __init__(self) -> None:
@@ -34,42 +35,54 @@
         """Append one record and return its offset."""
         with self._changed:
             if self.down:
-                return Err(not_run(FailureCode.UNAVAILABLE, "log is down"))
+                return Err(
+                    not_run(FailureCode.UNAVAILABLE, "the log is unavailable")
+                )
             offset = self._next_offset
             self._next_offset += 1
             self._records.append(LogRecord(offset, data))
             self._changed.notify_all()
             if self.answers_to_lose > 0:
                 self.answers_to_lose -= 1
-                return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
+                return Err(
+                    may_have_run(
+                        FailureCode.TIMEOUT, "the log did not respond"
+                    )
+                )
             return Ok(offset)
 
     def read(
         self, from_offset: int, limit: int, wait_ms: int = 0
     ) -> Result[LogSlice, Failure]:
-        """Read records from an offset, oldest first."""
+        """Read at most ``limit`` records from an offset, oldest first.
+
+        :param wait_ms: how long to wait for a record if there is none yet.
+        """
         with self._changed:
             if wait_ms and not self.down and from_offset >= self._next_offset:
                 self._changed.wait(wait_ms / 1000)
             if self.down:
-                return Err(not_run(FailureCode.UNAVAILABLE, "log is down"))
+                return Err(
+                    not_run(FailureCode.UNAVAILABLE, "the log is unavailable")
+                )
             oldest = self._next_offset - len(self._records)
             start = max(from_offset - oldest, 0)
             records = tuple(self._records[start : start + limit])
             return Ok(LogSlice(records, oldest, self._next_offset))
 
     def expire(self, before_offset: int) -> None:
-        """Drop records below an offset."""
+        """Delete the records below an offset, as limited retention does."""
         with self._changed:
             oldest = self._next_offset - len(self._records)
             del self._records[: max(before_offset - oldest, 0)]
 
 
 class LogConnection:
-    """One instance's way to a shared log, which can be cut.
+    """Connection of one instance to a shared log, with faults to inject.
 
     :ivar down: whether every call of this instance fails without effect.
-    :ivar answers_to_lose: appends that take effect but outcome in error.
+    :ivar answers_to_lose: number of appends of this instance to come that
+        take effect but return a failure.
     """
 
     def __init__(self, log: StandinLog) -> None:
@@ -80,17 +93,26 @@
     def append(self, data: bytes) -> Result[int, Failure]:
         """Append one record and return its offset."""
         if self.down:
-            return Err(not_run(FailureCode.UNAVAILABLE, "log is cut off"))
+            return Err(
+                not_run(FailureCode.UNAVAILABLE, "no connection to the log")
+            )
         outcome = self._log.append(data)
         if self.answers_to_lose > 0 and isinstance(outcome, Ok):
             self.answers_to_lose -= 1
-            return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
+            return Err(
+                may_have_run(FailureCode.TIMEOUT, "the log did not respond")
+            )
         return outcome
 
     def read(
         self, from_offset: int, limit: int, wait_ms: int = 0
     ) -> Result[LogSlice, Failure]:
-        """Read records from an offset, oldest first."""
+        """Read at most ``limit`` records from an offset, oldest first.
+
+        :param wait_ms: how long to wait for a record if there is none yet.
+        """
         if self.down:
-            return Err(not_run(FailureCode.UNAVAILABLE, "log is cut off"))
+            return Err(
+                not_run(FailureCode.UNAVAILABLE, "no connection to the log")
+            )
         return self._log.read(from_offset, limit, wait_ms)
--- a/src/magnoliapitch/standin/peer.py
+++ b/src/magnoliapitch/standin/peer.py
@@ -1,4 +1,4 @@
-"""Peer calls within one process, with cuts between instances."""
+"""In-memory stand-in for the network between entry instances."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
 
 
 class StandinNetwork:
-    """Connects peer handlers by address.
+    """Network that connects peer handlers by address.
 
-    :ivar blocked_links: pairs ``(from, to)`` of addresses; what the first sends to
-        the second is lost, also its answers.
+    :ivar blocked_links: pairs ``(sender, receiver)`` of addresses; messages
+        and responses in this direction are lost.
+    :ivar handlers_by_address: handlers of the reachable instances.
     """
 
     def __init__(self) -> None:
@@ -43,21 +44,28 @@
         self.handlers_by_address: dict[str, PeerHandler] = {}
 
     def link(self, address: str) -> StandinLink:
-        """Return the link of the instance at an address."""
+        """Return the link through which the instance at an address calls."""
         return StandinLink(self, address)
 
     def find_handler(
         self, source: str, target: str
     ) -> Result[PeerHandler, Failure]:
-        """Return the handler at ``target`` unless it is cut off."""
+        """Return the handler that a message from ``source`` reaches.
+
+        It fails if nothing serves at ``target`` or the link is blocked.
+        """
         handler = self.handlers_by_address.get(target)
         if handler is None or (source, target) in self.blocked_links:
-            return Err(not_run(FailureCode.UNAVAILABLE, "unreachable"))
+            return Err(
+                not_run(
+                    FailureCode.UNAVAILABLE, f"peer {target} is unreachable"
+                )
+            )
         return Ok(handler)
 
 
 class StandinLink:
-    """Calls handlers of the network directly."""
+    """Link of one instance that calls the handlers of its peers directly."""
 
     def __init__(self, network: StandinNetwork, address: str) -> None:
         self._network = network
@@ -80,7 +88,7 @@
         timeout_ms: int,
         on_answer: Callable[[str, Beat], None],
     ) -> None:
-        """Exchange heartbeats with many peers, one after another."""
+        """Exchange heartbeats with several peers, one after another."""
         for address, beat in beats_by_address.items():
             answer = self.heartbeat(address, beat, timeout_ms)
             if isinstance(answer, Ok):
@@ -92,7 +100,7 @@
         request: ForwardedRequest,
         timeout_ms: int,  # noqa: ARG002
     ) -> Result[ForwardedAnswer, Failure]:
-        """Let a peer execute a request."""
+        """Forward a request to a peer that executes it."""
         found = self._network.find_handler(self._address, address)
         answer = found.and_then(lambda handler: handler.forward(request))
         return self._drop_if_blocked(address, answer)
@@ -104,7 +112,7 @@
         limit: int,
         timeout_ms: int,  # noqa: ARG002
     ) -> Result[LogPage, Failure]:
-        """Fetch log records through a peer."""
+        """Fetch log records from a peer."""
         found = self._network.find_handler(self._address, address)
         page = found.map(lambda handler: handler.read_log(from_offset, limit))
         return self._drop_if_blocked(address, page)
@@ -114,7 +122,7 @@
         address: str,
         timeout_ms: int,  # noqa: ARG002
     ) -> Result[StateSnapshot, Failure]:
-        """Fetch a peer's encoded fold."""
+        """Fetch a peer's encoded state."""
         found = self._network.find_handler(self._address, address)
         return self._drop_if_blocked(
             address, found.map(lambda handler: handler.snapshot())
@@ -126,5 +134,9 @@
         if isinstance(answer, Ok) and (
             (address, self._address) in self._network.blocked_links
         ):
-            return Err(may_have_run(FailureCode.TIMEOUT, "no answer"))
+            return Err(
+                may_have_run(
+                    FailureCode.TIMEOUT, f"peer {address} did not respond"
+                )
+            )
         return answer
--- a/src/magnoliapitch/standin/server.py
+++ b/src/magnoliapitch/standin/server.py
@@ -1,4 +1,4 @@
-"""Serves the stand-ins over HTTP, for entries in other processes."""
+"""HTTP server of the stand-ins, for entry instances in other processes."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def platform_application(
     log: StandinLog, instance_list: StandinInstanceList
 ) -> Application:
-    """Return the platform's log and list as an application."""
+    """Return an application that serves the log and the instance list."""
     application = Application(BODY_MAX_BYTES)
 
     @application.route("POST", "/log/append")
@@ -91,7 +91,7 @@
     workers: StandinWorkers,
     infos_by_id: dict[str, InstanceInfo],
 ) -> None:
-    """Serve workers below ``/workers/ID``."""
+    """Add the routes of the workers, below ``/workers/ID``."""
 
     def respond(outcome: Result[WorkerView, Failure]) -> HttpResponse:
         return _respond(outcome, to_json_value)
@@ -143,7 +143,7 @@
     backends: StandinBackends,
     infos_by_id: dict[str, InstanceInfo],
 ) -> None:
-    """Serve backend servers below ``/backends/ID``."""
+    """Add the routes of the backend servers, below ``/backends/ID``."""
 
     @application.route("POST", "/backends/{server}/requests/{entry}")
     def execute(request: HttpRequest) -> HttpResponse:
@@ -190,9 +190,9 @@
 
 
 class StandinServer:
-    """Serves the stand-ins of a deployment on one loopback port.
+    """Serves the stand-ins of a cluster on one loopback port.
 
-    Worker and backend URLs of the instance list point at this server.
+    The URLs of workers and backend servers in the instance list point at it.
     """
 
     def __init__(
@@ -217,7 +217,10 @@
         self._instance_list = instance_list
 
     def start(self) -> None:
-        """Bind, publish the URLs and serve."""
+        """Start to serve and set the URLs in the instance list.
+
+        :raises StartError: if the port cannot be bound.
+        """
         self._listener.start()
         for instance_id, info in self._instance_list.by_id.items():
             kind = (
@@ -232,5 +235,5 @@
 
     @property
     def url(self) -> str:
-        """Base address of the server."""
+        """Base URL of the server."""
         return f"http://127.0.0.1:{self._listener.port}"
--- a/src/magnoliapitch/standin/serving.py
+++ b/src/magnoliapitch/standin/serving.py
@@ -1,4 +1,4 @@
-"""A deployment that serves on loopback until it is stopped."""
+"""A stand-in cluster that serves a deployment on the loopback interface."""
 
 from __future__ import annotations
 
@@ -17,9 +17,11 @@
 
 
 class ServingCluster:
-    """Stand-ins and entries of a deployment, with its catalogue in force.
+    """Stand-ins and entry instances that serve a deployment.
 
-    :ivar cluster: the stand-ins and entries.
+    :param platform_port: port of the server of the stand-ins, 0 for any.
+    :ivar cluster: stand-ins and entry instances.
+    :ivar server: server of the stand-ins for other processes.
     """
 
     def __init__(
@@ -42,7 +44,9 @@
         )
 
     def start(self, entries: int) -> None:
-        """Publish the catalogue and start entries, spread over the zones.
+        """Start the stand-ins, load the catalogue and start entry instances.
+
+        :param entries: number of entry instances, spread over the zones.
 
         :raises StartError: if a port cannot be bound.
         """
@@ -54,7 +58,7 @@
             self.cluster.add_entry(zones[number % len(zones)]).start()
 
     def stop(self) -> None:
-        """Stop all entries at once, then the stand-ins."""
+        """Stop all entry instances in parallel, then the stand-ins' server."""
         with ThreadPoolExecutor() as threads:
             list(threads.map(lambda node: node.stop(), self.cluster.entries))
         self.server.stop()
--- a/src/magnoliapitch/standin/submitter.py
+++ b/src/magnoliapitch/standin/submitter.py
@@ -1,4 +1,4 @@
-"""Callers that submit jobs and watch them to their end."""
+"""Caller that submits jobs and polls them until they are done."""
 
 from __future__ import annotations
 
@@ -27,9 +27,10 @@
 
 
 class SubmittedJob(NamedTuple):
-    """A job that was accepted.
+    """A job that an entry instance has accepted.
 
-    :param accepted_ms: monotonic time of the acceptance.
+    :param tasks: number of tasks.
+    :param accepted_ms: monotonic time of the acceptance, in milliseconds.
     """
 
     job_id: str
@@ -39,7 +40,10 @@
 
 
 class JobSubmitter:
-    """Submits and watches jobs through all entries in turn."""
+    """Submits, polls and cancels jobs, using the entry instances in turn.
+
+    :param urls: base URLs at which the entry instances serve callers.
+    """
 
     def __init__(self, urls: Sequence[str]) -> None:
         self._urls = urls
@@ -49,7 +53,11 @@
     def submit(
         self, plan: JobPlan, number: int, work_class: WorkClass
     ) -> SubmittedJob | None:
-        """Submit one job; return ``None`` if it is not accepted."""
+        """Submit one job, with retries.
+
+        :param number: number of the job among those of the plan.
+        :return: ``None`` if no attempt was accepted.
+        """
         job_id = f"{plan.entry}-{number}"
         body = orjson.dumps(
             {
@@ -69,7 +77,7 @@
         return None
 
     def is_done(self, job: SubmittedJob) -> bool:
-        """Return whether nothing of the job has to run any more."""
+        """Return whether all tasks of the job have ended for good."""
         response = self._call("GET", f"/v1/jobs/{job.job_id}")
         if response.status != 200:
             return False
@@ -77,7 +85,7 @@
         return bool(status["done"])
 
     def cancel(self, job: SubmittedJob) -> bool:
-        """Cancel a job; return whether that was accepted."""
+        """Cancel a job and return whether the call succeeded."""
         response = self._call("DELETE", f"/v1/jobs/{job.job_id}")
         return response.status == 200
 
--- a/src/magnoliapitch/standin/worker.py
+++ b/src/magnoliapitch/standin/worker.py
@@ -1,4 +1,4 @@
-"""In-memory workers that run tasks under leases."""
+"""In-memory stand-ins for workers that run tasks under leases."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class TaskStart(NamedTuple):
-    """History entry: a task started to run on a worker."""
+    """Record of a task that started to run on a worker."""
 
     at_ms: int
     worker_id: str
@@ -49,19 +49,26 @@
 
     @property
     def task_ends_at_ms(self) -> int:
-        """Time of the worker's clock at which it stops by itself."""
+        """Time of the worker's clock at which the task ends by itself."""
         return min(self.view.expires_at_ms, self.ends_at_ms)
 
     @property
     def is_running_task(self) -> bool:
-        """Whether it uses what it reserves."""
+        """Whether it is the lease of a task that still runs."""
         is_task = self.view.kind is LeaseKind.TASK
         return is_task and self.view.state is LeaseState.RUNNING
 
 
 class StandinWorker:
-    """One worker; its clock starts at a different origin than others'.
-
+    """One worker, whose monotonic clock has its own origin.
+
+    :param skew_ms: difference of its clock from the common clock, in
+        milliseconds.
+    :ivar down: whether calls to the worker fail; its tasks continue.
+    :ivar fails_all_tasks: whether tasks that end by themselves fail.
+    :ivar fences_epochs: whether it refuses grants below the highest epoch
+        that it has seen.
+    :ivar boot_count: number of boots so far.
     :ivar events: starts and ends of its tasks, in order.
     """
 
@@ -79,15 +86,15 @@
 
     @property
     def boot_id(self) -> str:
-        """Name of the current boot."""
+        """Id of the current boot."""
         return f"{self.info.instance_id}-{self.boot_count}"
 
     def now_ms(self) -> int:
-        """Return the monotonic clock of the current boot."""
+        """Return the time of its monotonic clock, in milliseconds."""
         return self._clock.now_ms() + self._skew_ms
 
     def view(self) -> WorkerView:
-        """Return all unexpired leases."""
+        """Return a view with all unexpired leases."""
         self._advance_to_now()
         leases = tuple(item.view for item in self._leases_by_id.values())
         return WorkerView(
@@ -95,7 +102,10 @@
         )
 
     def start(self, grant: LeaseGrant, run_ms: int) -> bool:
-        """Start a task; return whether it is new."""
+        """Start a lease and return whether its grant was accepted.
+
+        :param run_ms: run time of the task, in milliseconds.
+        """
         self._advance_to_now()
         if not self._accepts(grant):
             return False
@@ -125,7 +135,11 @@
         return True
 
     def renew(self, lease_id: str, expires_at_ms: int) -> None:
-        """Extend a lease that has not expired."""
+        """Raise the expiry of a lease that has not expired.
+
+        :param expires_at_ms: time of the worker's clock; one that is not
+            later than the current expiry changes nothing.
+        """
         self._advance_to_now()
         running = self._leases_by_id.get(lease_id)
         if running is None or expires_at_ms <= running.view.expires_at_ms:
@@ -134,14 +148,14 @@
         self._leases_by_id[lease_id] = running._replace(view=view)
 
     def stop(self, lease_id: str) -> None:
-        """End a lease."""
+        """End a lease and stop its task."""
         self._advance_to_now()
         item = self._leases_by_id.pop(lease_id, None)
         if item is not None:
             self._record_end(item, self.now_ms())
 
     def restart(self) -> None:
-        """Lose every lease, as after a crash."""
+        """Restart: lose every lease and start the clock of a new boot at 0."""
         self._advance_to_now()
         for item in self._leases_by_id.values():
             self._record_end(item, self.now_ms())
@@ -151,7 +165,7 @@
         self._leases_by_id.clear()
 
     def used(self) -> Resources:
-        """Return what running tasks reserve now."""
+        """Return the resources that running tasks reserve now."""
         self._advance_to_now()
         total = NO_RESOURCES
         for item in self._leases_by_id.values():
@@ -196,9 +210,12 @@
 
 
 class StandinWorkers:
-    """A pool of in-memory workers.
+    """Worker pool of in-memory workers.
 
-    :ivar history: every task start, in order.
+    :param run_ms_of: returns the run time of a granted task, in
+        milliseconds; by default the payload names it.
+    :ivar by_id: workers by instance id.
+    :ivar history: starts of tasks on all workers, in order.
     """
 
     def __init__(
@@ -221,13 +238,13 @@
         self._lock = threading.Lock()
 
     def view(self, worker: InstanceInfo) -> Result[WorkerView, Failure]:
-        """Return the worker's running leases and usage."""
+        """Return the worker's unexpired leases and their usage."""
         return self._call(worker, lambda _target: None)
 
     def start(
         self, worker: InstanceInfo, grants: tuple[LeaseGrant, ...]
     ) -> Result[WorkerView, Failure]:
-        """Start tasks; each id at most once."""
+        """Start leases; each lease id starts at most once."""
 
         def apply(target: StandinWorker) -> None:
             for grant in grants:
@@ -249,7 +266,10 @@
         lease_ids: tuple[str, ...],
         expires_at_ms: int,
     ) -> Result[WorkerView, Failure]:
-        """Set the expiry of leases on the worker's clock."""
+        """Raise the expiry of unexpired leases.
+
+        :param expires_at_ms: time of the worker's clock, in milliseconds.
+        """
 
         def apply(target: StandinWorker) -> None:
             for lease_id in lease_ids:
@@ -280,7 +300,10 @@
         lease_id: str,  # noqa: ARG002
         cpu_millis: int,  # noqa: ARG002
     ) -> Result[WorkerView, Failure]:
-        """Bound the processor time of a task."""
+        """Limit the processor share of a task.
+
+        :param cpu_millis: limit, in thousandths of a processor.
+        """
         return self._call(worker, lambda _target: None)
 
     def _call(
@@ -300,7 +323,7 @@
 
 
 def _default_run_ms(grant: LeaseGrant) -> int:
-    """Take the run time from the payload ``run_ms=N``, if it names one."""
+    """Return the run time in a payload ``run_ms=N``, else the default."""
     key, _, value = grant.payload.partition("=")
     if key == "run_ms" and value.isdigit():
         return int(value)
--- a/src/magnoliapitch/worker/__init__.py
+++ b/src/magnoliapitch/worker/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to workers, which run tasks under leases."""
+"""Calls to workers, which run tasks under leases."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/worker/http_pool.py
+++ b/src/magnoliapitch/worker/http_pool.py
@@ -1,7 +1,7 @@
-"""Adapter to workers that speak HTTP and JSON.
+"""Calls to workers over HTTP with JSON bodies.
 
 Every call is a POST to ``WORKER_URL/view``, ``/start``, ``/renew``,
-``/stop``, ``/checkpoint`` or ``/throttle`` and answers the worker's view.
+``/stop``, ``/checkpoint`` or ``/throttle``. The response is the worker's view.
 """
 
 from __future__ import annotations
@@ -27,7 +27,10 @@
 
 
 class HttpWorkerPool:
-    """Workers over HTTP, one connection pool for all of them."""
+    """Worker pool that calls workers over HTTP.
+
+    It keeps one client for each worker URL.
+    """
 
     fences_epochs = False
 
@@ -35,13 +38,13 @@
         self._clients_by_url: dict[str, JsonClient] = {}
 
     def view(self, worker: InstanceInfo) -> Result[WorkerView, Failure]:
-        """Return the worker's running leases and usage."""
+        """Return the worker's unexpired leases and their usage."""
         return self._call(worker, "view", {})
 
     def start(
         self, worker: InstanceInfo, grants: tuple[LeaseGrant, ...]
     ) -> Result[WorkerView, Failure]:
-        """Start tasks; each id at most once."""
+        """Start leases; each lease id starts at most once."""
         return self._call(worker, "start", {"grants": to_json_value(grants)})
 
     def renew(
@@ -50,7 +53,10 @@
         lease_ids: tuple[str, ...],
         expires_at_ms: int,
     ) -> Result[WorkerView, Failure]:
-        """Set the expiry of leases on the worker's clock."""
+        """Raise the expiry of unexpired leases.
+
+        :param expires_at_ms: time of the worker's clock, in milliseconds.
+        """
         return self._call(
             worker,
             "renew",
@@ -72,7 +78,10 @@
     def throttle(
         self, worker: InstanceInfo, lease_id: str, cpu_millis: int
     ) -> Result[WorkerView, Failure]:
-        """Bound the processor time of a task."""
+        """Limit the processor share of a task.
+
+        :param cpu_millis: limit, in thousandths of a processor.
+        """
         return self._call(
             worker,
             "throttle",
--- a/src/magnoliapitch/worker/lease.py
+++ b/src/magnoliapitch/worker/lease.py
@@ -1,10 +1,10 @@
 """Leases under which workers run tasks.
 
-Expiry is an absolute time of the worker's own monotonic clock, which every
-reply of the worker carries. A grant that arrives after its expiry is
-refused, so a delayed or repeated message never extends a lease. The clock
-is only defined within one boot of the worker, so a grant names the boot that
-it is meant for and every other boot refuses it.
+The expiry is an absolute time of the worker's own monotonic clock, which
+every reply of the worker reports. A worker refuses a grant that arrives after
+its expiry, so a delayed or repeated message never extends a lease. The clock
+is only defined within one boot of the worker. So a grant names the boot that
+it is meant for, and the worker refuses it in any other boot.
 """
 
 from __future__ import annotations
@@ -20,7 +20,11 @@
 
 
 class LeaseKind(StrEnum):
-    """What a lease stands for."""
+    """What a lease permits.
+
+    - ``TASK``: to run one attempt of a task.
+    - ``CLAIM``: nothing to run; it marks the worker as claimed by an owner.
+    """
 
     TASK = "task"
     CLAIM = "claim"
@@ -35,14 +39,14 @@
 
 
 class LeaseGrant(NamedTuple):
-    """Permission to run one attempt of a task, or a claim marker.
+    """Order to start a lease on a worker.
 
-    :param lease_id: unique; starting the same id twice is idempotent.
+    :param lease_id: unique id; starting the same id twice is idempotent.
     :param epoch: epoch of the owner's claim on the worker's rack.
     :param expires_at_ms: expiry on the worker's clock, in milliseconds.
-    :param kind: a task, or the claim marker of an owner.
-    :param resources: reserved amount.
-    :param entry: catalogue entry of the work.
+    :param kind: what the lease permits.
+    :param resources: resources that the worker reserves for the lease.
+    :param entry: catalogue entry of the task.
     :param payload: opaque input of the task.
     :param boot_id: boot of the worker whose clock the expiry refers to.
     """
@@ -62,8 +66,10 @@
 
     Finished and failed leases stay listed until they expire.
 
-    :param usage: measured use, which lags behind.
-    :param progress: checkpointed part of the work, from 0 to 1.
+    :param expires_at_ms: expiry on the worker's clock, in milliseconds.
+    :param usage: measured resource usage, which lags behind.
+    :param progress: share of the work that a checkpoint has saved, from 0
+        to 1.
     """
 
     lease_id: str
@@ -78,11 +84,12 @@
 
 
 class WorkerView(NamedTuple):
-    """Everything that a worker reports at one moment.
+    """Complete state of a worker at the time of a reply.
 
     :param worker_id: instance id of the worker.
-    :param boot_id: changes when the worker restarts and loses its leases.
-    :param now_ms: the worker's monotonic clock, in milliseconds.
+    :param boot_id: id of the boot; a restarted worker has a new one and has
+        lost its leases.
+    :param now_ms: time of the worker's monotonic clock, in milliseconds.
     :param leases: every lease that has not expired.
     """
 
--- a/src/magnoliapitch/worker/pool.py
+++ b/src/magnoliapitch/worker/pool.py
@@ -1,4 +1,4 @@
-"""Interface through which an entry uses workers."""
+"""Interface through which an entry instance calls workers."""
 
 from __future__ import annotations
 
@@ -16,25 +16,26 @@
 
 
 class WorkerPool(Protocol):
-    """Calls to workers; each reply is the worker's complete view.
+    """Calls to workers.
 
+    Each successful call returns the worker's complete view after the call.
     A failure with verdict ``may_have_run`` means that the call may have
-    taken effect.
+    taken effect, one with ``not_run`` that it has not.
     """
 
     @property
     def fences_epochs(self) -> bool:
-        """Whether workers refuse a grant of an epoch below the highest."""
+        """Whether workers refuse a grant below the highest epoch seen."""
 
     def view(self, worker: InstanceInfo) -> Result[WorkerView, Failure]:
-        """Return the worker's running leases and usage."""
+        """Return the worker's unexpired leases and their usage."""
 
     def start(
         self, worker: InstanceInfo, grants: tuple[LeaseGrant, ...]
     ) -> Result[WorkerView, Failure]:
-        """Start tasks; each id at most once.
+        """Start leases; each lease id starts at most once.
 
-        Grants that have expired or name another boot are refused.
+        A worker refuses grants that have expired or name another boot.
         """
 
     def renew(
@@ -43,7 +44,10 @@
         lease_ids: tuple[str, ...],
         expires_at_ms: int,
     ) -> Result[WorkerView, Failure]:
-        """Raise the expiry of unexpired leases on the worker's clock."""
+        """Raise the expiry of unexpired leases.
+
+        :param expires_at_ms: time of the worker's clock, in milliseconds.
+        """
 
     def stop(
         self, worker: InstanceInfo, lease_ids: tuple[str, ...]
@@ -58,4 +62,7 @@
     def throttle(
         self, worker: InstanceInfo, lease_id: str, cpu_millis: int
     ) -> Result[WorkerView, Failure]:
-        """Bound the processor time of a task."""
+        """Limit the processor share of a task.
+
+        :param cpu_millis: limit, in thousandths of a processor.
+        """
--- a/src/magnoliapitch/worker/runner.py
+++ b/src/magnoliapitch/worker/runner.py
@@ -1,4 +1,7 @@
-"""Running calls to workers side by side, at most one for each worker."""
+"""Concurrent execution of calls to workers.
+
+The caller submits at most one call at a time for each worker.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 class WorkerCall(NamedTuple):
     """A call to one worker.
 
-    :param run: makes the call; runs in any thread.
+    :param run: makes the call; may run in any thread.
     """
 
     worker_id: str
@@ -43,44 +46,47 @@
 
 
 class CallRunner(Protocol):
-    """Makes calls without keeping the caller waiting."""
+    """Executes calls and collects their outcomes."""
 
     def submit(self, call: WorkerCall) -> None:
-        """Make a call soon."""
+        """Execute a call, at once or later."""
 
     def replies(self) -> Iterator[WorkerReply]:
-        """Return the outcomes that have arrived since the last time."""
+        """Return the outcomes that arrived since the previous invocation."""
 
 
 class InlineRunner:
-    """Makes each call at once, for deterministic runs."""
+    """Executes each call within ``submit``, for deterministic tests."""
 
     def __init__(self) -> None:
         self._replies: list[WorkerReply] = []
 
     def submit(self, call: WorkerCall) -> None:
-        """Make a call now."""
+        """Execute a call before returning."""
         self._replies.append(WorkerReply(call.worker_id, call.run()))
 
     def replies(self) -> Iterator[WorkerReply]:
-        """Return the outcomes since the last time."""
+        """Return the outcomes of all calls since the previous invocation."""
         replies, self._replies = self._replies, []
         return iter(replies)
 
 
 class PooledRunner:
-    """Makes calls in a few thread_count, so a silent worker delays no other."""
+    """Executes calls in a thread pool.
+
+    So an unresponsive worker does not delay calls to other workers.
+    """
 
     def __init__(self, thread_count: int = CALL_THREAD_COUNT) -> None:
         self._executor = ThreadPoolExecutor(thread_count, "worker-call")
         self._replies: queue.SimpleQueue[WorkerReply] = queue.SimpleQueue()
 
     def submit(self, call: WorkerCall) -> None:
-        """Make a call when a thread is free."""
+        """Execute a call as soon as a thread is free."""
         self._executor.submit(self._run, call)
 
     def replies(self) -> Iterator[WorkerReply]:
-        """Return the outcomes that have arrived since the last time."""
+        """Return the outcomes that arrived since the previous invocation."""
         while True:
             try:
                 yield self._replies.get_nowait()
@@ -88,7 +94,7 @@
                 return
 
     def stop(self) -> None:
-        """Start no further calls."""
+        """Cancel the calls that have not begun; running ones continue."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _run(self, call: WorkerCall) -> None:
--- a/tests/job/test_backlog.py
+++ b/tests/job/test_backlog.py
@@ -17,8 +17,8 @@
 
 
 UNIT = "rack-1"
-TASKS = 4
-SIZE = Resources(1_000, 1_000)
+TASK_COUNT = 4
+TASK_RESOURCES = Resources(1_000, 1_000)
 CAPACITY = Resources(32_000, 128_000)
 
 
@@ -27,7 +27,7 @@
         entry = CatalogueEntry("fee-close", "fees", WorkClass.GANG)
         self.state = ClusterState()
         self.state.catalogue_by_name[entry.name] = VersionedEntry(entry, 1, 0)
-        spec = JobSpec("gang", entry.name, TASKS, SIZE)
+        spec = JobSpec("gang", entry.name, TASK_COUNT, TASK_RESOURCES)
         self.job = JobRecord(spec, UNIT, 0)
         self.state.jobs_by_id["gang"] = self.job
         self.backlog = Backlog()
@@ -66,25 +66,25 @@
         self.backlog.retry(key, self.job, self.now_ms)
 
 
-def test_backlog_hands_over_a_gang_as_a_whole() -> None:
+def test_backlog_submits_a_gang_as_a_whole() -> None:
     assert GangScenario().start_tasks() == [0, 1, 2, 3]
 
 
-@pytest.mark.parametrize("finished", range(TASKS))
-def test_backlog_lets_lost_tasks_join_a_gang_that_has_partly_finished(
-    finished: int,
+@pytest.mark.parametrize("finished_count", range(TASK_COUNT))
+def test_backlog_restarts_lost_tasks_of_a_partly_finished_gang(
+    finished_count: int,
 ) -> None:
     gang = GangScenario()
     gang.start_tasks()
-    for number in range(TASKS):
+    for number in range(TASK_COUNT):
         outcome = TaskOutcome.LOST
-        if number < finished:
+        if number < finished_count:
             outcome = TaskOutcome.FINISHED
         gang.end_task(number, outcome)
-    assert gang.start_tasks() == list(range(finished, TASKS))
+    assert gang.start_tasks() == list(range(finished_count, TASK_COUNT))
 
 
-def test_backlog_lets_lost_tasks_join_when_the_rest_finishes_meanwhile() -> (
+def test_backlog_restarts_lost_tasks_when_others_end_before_placement() -> (
     None
 ):
     gang = GangScenario()
--- a/tests/job/test_spec.py
+++ b/tests/job/test_spec.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "accepted"),
+    ("resources", "accepted"),
     [
         ({"cpu_millis": 1, "memory_mb": 0}, True),
         ({"cpu_millis": -1}, False),
@@ -20,10 +20,10 @@
         ({"cpu_millis": 10**9 + 1}, False),
     ],
 )
-def test_spec_refuses_a_size_below_nothing_or_beyond_any_worker(
-    size: dict[str, Any], accepted: bool
+def test_spec_rejects_negative_or_excessive_resources(
+    resources: dict[str, Any], accepted: bool
 ) -> None:
-    job = {"job_id": "j", "entry": "e", "tasks": 1, "resources": size}
+    job = {"job_id": "j", "entry": "e", "tasks": 1, "resources": resources}
     entry = {"kind": "job.submit", "job": job, "unit": "rack-1"}
     data = orjson.dumps({"v": 1, "entries": [entry]})
     state = ClusterState()
--- a/tests/standin/test_deployment.py
+++ b/tests/standin/test_deployment.py
@@ -16,7 +16,7 @@
     ("name", "cpu_millis", "memory_mb", "entries"),
     [("clubs", 32_000, 131_072, 7), ("rounds", 16_000, 32_768, 6)],
 )
-def test_deployment_examples_have_the_users_sizes(
+def test_deployment_examples_have_the_expected_sizes(
     name: str, cpu_millis: int, memory_mb: int, entries: int
 ) -> None:
     deployment = load_deployment(EXAMPLES / f"{name}.toml")
@@ -37,7 +37,7 @@
     assert not all(entry.idempotent for entry in deployment.catalogue)
 
 
-def test_deployment_refuses_work_of_no_catalogue_entry(
+def test_deployment_rejects_work_of_an_unknown_catalogue_entry(
     tmp_path: Path,
 ) -> None:
     text = (EXAMPLES / "clubs.toml").read_text()
