--- a/src/magnoliapitch/job/backlog.py
+++ b/src/magnoliapitch/job/backlog.py
@@ -168,9 +168,9 @@
         """Return how many tasks of a gang must start together.
 
         These are all its tasks until one of them has been attempted.
-        Afterwards only tasks that were lost start again, to rejoin those
-        that run or have finished. They start together with other tasks of
-        the gang that wait in the scheduler's queue.
+        Afterwards lost tasks rejoin those that run or have finished. They
+        start together with the other tasks of the gang that wait in the
+        scheduler's queue.
 
         :param ready_count: tasks of the gang that are due now.
         """
--- a/src/magnoliapitch/job/channel.py
+++ b/src/magnoliapitch/job/channel.py
@@ -46,7 +46,7 @@
     :param grants: leases to start.
     :param expires_at_ms: new expiry of renewed leases, in milliseconds of
         the worker's clock.
-    :param cpu_millis: processor bound of a throttled task.
+    :param cpu_millis: limit for a throttled task, in thousandths of a core.
     """
 
     kind: CallKind
@@ -59,8 +59,8 @@
 class WorkerChannel:
     """State of the exchange with one worker of an owned rack.
 
-    At most one call is in flight. Orders that wait for their call are kept
-    in the ``pending_*`` attributes, in the order of their arrival.
+    At most one call is in flight. What the worker has yet to be told is
+    kept in the ``pending_*`` attributes.
 
     :param may_keep_tasks: returns whether leases of a catalogue entry's
         tasks may be renewed at a local monotonic time.
@@ -69,7 +69,8 @@
     :ivar pending_starts: lease ids of placed attempts to grant.
     :ivar pending_stops: ids of leases to end.
     :ivar pending_checkpoints: ids of leases to checkpoint and end.
-    :ivar pending_throttles_by_lease: processor bounds to set.
+    :ivar pending_throttles_by_lease: processor limits to set, in thousandths
+        of a core.
     :ivar in_flight: call that has no reply yet.
     :ivar consecutive_failures: number of calls that failed in a row.
     """
@@ -208,6 +209,10 @@
         )
 
     def _jitter_ms(self) -> int:
+        """Return how much earlier than the interval a renewal is due.
+
+        It depends on the worker's id, up to a quarter of the interval.
+        """
         interval_ms = self.fence.ttl_ms // RENEWALS_PER_TTL
         jitter_step = sum(self.worker.instance_id.encode()) % JITTER_STEP_COUNT
         return interval_ms * jitter_step // (4 * JITTER_STEP_COUNT)
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -241,14 +241,14 @@
                 for channel in self._channels_by_worker.values()
                 if channel.worker.unit == name
             ]
-            if channels and all(map(self._has_no_grant_in_flight, channels)):
+            if channels and all(map(self._is_ready_for_release, channels)):
                 self._claimer.release(name)
 
     def _is_releasing(self, channel: WorkerChannel) -> bool:
         unit = self._units_by_name.get(channel.worker.unit)
         return unit is None or unit.is_releasing
 
-    def _has_no_grant_in_flight(self, channel: WorkerChannel) -> bool:
+    def _is_ready_for_release(self, channel: WorkerChannel) -> bool:
         call = channel.in_flight
         sends_grants = call is not None and bool(call.grants)
         if sends_grants or not channel.fence.is_open or channel.pending_starts:
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -182,7 +182,10 @@
     def end_expired_unreachable(
         self, channels_by_worker: Mapping[str, WorkerChannel], now_ms: int
     ) -> None:
-        """End attempts on unreachable workers whose leases expired."""
+        """End the attempts on unreachable workers that cannot run any more.
+
+        Their leases have certainly expired on the workers' clocks.
+        """
         for channel in channels_by_worker.values():
             if (
                 not channel.consecutive_failures
--- a/src/magnoliapitch/standin/audit.py
+++ b/src/magnoliapitch/standin/audit.py
@@ -54,33 +54,33 @@
         """Return descriptions of the violations, each once."""
         return tuple(dict.fromkeys(self._problems))
 
-    def cpu_share_in_use(self) -> float:
+    def reserved_cpu_share(self) -> float:
         """Return the share of all workers' processors that tasks reserve now.
 
-        :return: a share from 0 to 1.
+        :return: ratio of reserved to total processors.
         """
         with self._lock:
-            used = 0
+            reserved = 0
             capacity = 0
             for target in self.by_id.values():
-                used += target.used().cpu_millis
+                reserved += target.reserved().cpu_millis
                 capacity += target.info.capacity.cpu_millis
-        return used / capacity
+        return reserved / capacity
 
     def find_running_worker(self) -> str | None:
         """Return the id of a reachable worker that runs a task, if any."""
         with self._lock:
             for worker_id, target in self.by_id.items():
-                if not target.down and target.used().cpu_millis:
+                if not target.down and target.reserved().cpu_millis:
                     return worker_id
         return None
 
     def _check_capacity(self, target: StandinWorker) -> None:
-        used = target.used()
-        if not used.fits(target.info.capacity):
+        reserved = target.reserved()
+        if not reserved.fits(target.info.capacity):
             worker_id = target.info.instance_id
             self._problems.append(
-                f"tasks on {worker_id} reserve {used}; "
+                f"tasks on {worker_id} reserve {reserved}; "
                 f"its capacity is {target.info.capacity}"
             )
 
--- a/src/magnoliapitch/standin/caller.py
+++ b/src/magnoliapitch/standin/caller.py
@@ -62,18 +62,18 @@
 
         Attempts with the verdict ``not_run`` are repeated at the next URL.
         """
-        names = [
+        planned = [
             (f"{plan.entry}-{number}", plan.entry)
             for plan in plans
             for number in range(plan.requests)
         ]
         # Sorting by the reversed id mixes the requests of all entries.
-        names.sort(key=lambda name: name[0][::-1])
+        planned.sort(key=lambda request: request[0][::-1])
         with ThreadPoolExecutor(CALLER_COUNT) as callers:
-            return list(callers.map(self._send, range(len(names)), names))
+            return list(callers.map(self._send, range(len(planned)), planned))
 
-    def _send(self, number: int, name: tuple[str, str]) -> RequestOutcome:
-        request_id, entry = name
+    def _send(self, number: int, request: tuple[str, str]) -> RequestOutcome:
+        request_id, entry = request
         started_s = time.monotonic()
         not_run_ids: list[str] = []
         for attempt in range(MAX_ATTEMPTS):
@@ -81,7 +81,7 @@
             url = self._urls[(number + attempt) % len(self._urls)]
             response = self._post(f"{url}/v1/requests/{entry}", attempt_id)
             if response.status < 300:
-                problem = _problem_of(response, attempt_id)
+                problem = _find_problem(response, attempt_id)
                 answered = not problem
                 may_have_run = False
                 break
@@ -113,7 +113,7 @@
         )
 
 
-def _problem_of(response: urllib3.BaseHTTPResponse, attempt_id: str) -> str:
+def _find_problem(response: urllib3.BaseHTTPResponse, attempt_id: str) -> str:
     if response.headers.get(REQUEST_ID_HEADER) != attempt_id:
         return f"{attempt_id}: the response carries the id of another request"
     try:
--- a/src/magnoliapitch/standin/cluster.py
+++ b/src/magnoliapitch/standin/cluster.py
@@ -74,7 +74,7 @@
         self.shape = shape
         self._options = options or ClusterOptions()
         self.clock = clock or MonotonicClock()
-        infos = _instances(shape)
+        infos = _make_instances(shape)
         self.log = StandinLog()
         self.instance_list = StandinInstanceList(infos)
         workers = tuple(i for i in infos if i.role is InstanceRole.WORKER)
@@ -130,7 +130,7 @@
             item.close()
 
 
-def _instances(shape: ClusterShape) -> tuple[InstanceInfo, ...]:
+def _make_instances(shape: ClusterShape) -> tuple[InstanceInfo, ...]:
     infos: list[InstanceInfo] = []
     for zone in shape.zones:
         infos += [
--- a/src/magnoliapitch/standin/demo.py
+++ b/src/magnoliapitch/standin/demo.py
@@ -196,7 +196,7 @@
 
     def _sample_cpu_share(self, ended: threading.Event) -> None:
         while not ended.wait(POLL_INTERVAL_S):
-            share = self._workers.cpu_share_in_use()
+            share = self._workers.reserved_cpu_share()
             if share:
                 self._cpu_shares.append(share)
 
@@ -246,9 +246,7 @@
             for number in range(plan.jobs):
                 job_id = f"{plan.entry}-{number}"
                 if job_id not in self._done_job_ids:
-                    self._problems.append(
-                        f"job {job_id} did not finish in time"
-                    )
+                    self._problems.append(f"job {job_id} did not finish")
 
     def _check_outcome(
         self, item: RequestOutcome, runs_by_attempt: Counter[str]
@@ -257,7 +255,7 @@
             self._problems.append(item.problem)
         elif not item.answered and not item.may_have_run:
             self._problems.append(
-                f"request {item.request_id} never got a response"
+                f"every attempt of request {item.request_id} was refused"
             )
         self._problems.extend(
             f"attempt {attempt_id} had the verdict not_run, but it ran"
--- a/src/magnoliapitch/standin/worker.py
+++ b/src/magnoliapitch/standin/worker.py
@@ -43,7 +43,7 @@
     lease_id: str
 
 
-class _RunningLease(NamedTuple):
+class _LeaseRecord(NamedTuple):
     view: LeaseView
     ends_at_ms: int
 
@@ -82,7 +82,7 @@
         self._epoch = 0
         self._clock = clock
         self._skew_ms = skew_ms
-        self._leases_by_id: dict[str, _RunningLease] = {}
+        self._records_by_lease: dict[str, _LeaseRecord] = {}
 
     @property
     def boot_id(self) -> str:
@@ -96,7 +96,9 @@
     def view(self) -> WorkerView:
         """Return a view with all unexpired leases."""
         self._advance_to_now()
-        leases = tuple(item.view for item in self._leases_by_id.values())
+        leases = tuple(
+            record.view for record in self._records_by_lease.values()
+        )
         return WorkerView(
             self.info.instance_id, self.boot_id, self.now_ms(), leases
         )
@@ -122,7 +124,7 @@
             grant.resources,
         )
         ends_at_ms = self.now_ms() + run_ms
-        self._leases_by_id[grant.lease_id] = _RunningLease(view, ends_at_ms)
+        self._records_by_lease[grant.lease_id] = _LeaseRecord(view, ends_at_ms)
         if grant.kind is LeaseKind.TASK:
             self.events.append(
                 LeaseStarted(
@@ -141,36 +143,36 @@
             later than the current expiry changes nothing.
         """
         self._advance_to_now()
-        running = self._leases_by_id.get(lease_id)
-        if running is None or expires_at_ms <= running.view.expires_at_ms:
+        record = self._records_by_lease.get(lease_id)
+        if record is None or expires_at_ms <= record.view.expires_at_ms:
             return
-        view = running.view._replace(expires_at_ms=expires_at_ms)
-        self._leases_by_id[lease_id] = running._replace(view=view)
+        view = record.view._replace(expires_at_ms=expires_at_ms)
+        self._records_by_lease[lease_id] = record._replace(view=view)
 
     def stop(self, lease_id: str) -> None:
         """End a lease and stop its task."""
         self._advance_to_now()
-        item = self._leases_by_id.pop(lease_id, None)
-        if item is not None:
-            self._record_end(item, self.now_ms())
+        record = self._records_by_lease.pop(lease_id, None)
+        if record is not None:
+            self._record_end(record, self.now_ms())
 
     def restart(self) -> None:
         """Restart: lose every lease and start the clock of a new boot at 0."""
         self._advance_to_now()
-        for item in self._leases_by_id.values():
-            self._record_end(item, self.now_ms())
+        for record in self._records_by_lease.values():
+            self._record_end(record, self.now_ms())
         self.boot_count += 1
         self._skew_ms = -self._clock.now_ms()
         self._epoch = 0
-        self._leases_by_id.clear()
+        self._records_by_lease.clear()
 
-    def used(self) -> Resources:
+    def reserved(self) -> Resources:
         """Return the resources that running tasks reserve now."""
         self._advance_to_now()
         total = NO_RESOURCES
-        for item in self._leases_by_id.values():
-            if item.view.state is LeaseState.RUNNING:
-                total = total.plus(item.view.resources)
+        for record in self._records_by_lease.values():
+            if record.view.state is LeaseState.RUNNING:
+                total = total.plus(record.view.resources)
         return total
 
     def _accepts(self, grant: LeaseGrant) -> bool:
@@ -178,35 +180,35 @@
             return False
         if grant.expires_at_ms <= self.now_ms():
             return False
-        return grant.lease_id not in self._leases_by_id
+        return grant.lease_id not in self._records_by_lease
 
-    def _record_end(self, item: _RunningLease, at_ms: int) -> None:
-        if item.is_running_task:
+    def _record_end(self, record: _LeaseRecord, at_ms: int) -> None:
+        if record.is_running_task:
             self.events.append(
                 LeaseEnded(
                     at_ms - self._skew_ms,
                     self.info.instance_id,
-                    item.view.lease_id,
+                    record.view.lease_id,
                 )
             )
 
     def _advance_to_now(self) -> None:
         now_ms = self.now_ms()
-        for lease_id, item in list(self._leases_by_id.items()):
-            if item.task_ends_at_ms <= now_ms:
-                self._record_end(item, item.task_ends_at_ms)
-            if item.view.expires_at_ms <= now_ms:
-                del self._leases_by_id[lease_id]
+        for lease_id, record in list(self._records_by_lease.items()):
+            if record.task_ends_at_ms <= now_ms:
+                self._record_end(record, record.task_ends_at_ms)
+            if record.view.expires_at_ms <= now_ms:
+                del self._records_by_lease[lease_id]
                 continue
-            if not item.is_running_task or item.ends_at_ms > now_ms:
+            if not record.is_running_task or record.ends_at_ms > now_ms:
                 continue
             state = (
                 LeaseState.FAILED
                 if self.fails_all_tasks
                 else LeaseState.FINISHED
             )
-            view = item.view._replace(state=state, progress=1.0)
-            self._leases_by_id[lease_id] = item._replace(view=view)
+            view = record.view._replace(state=state, progress=1.0)
+            self._records_by_lease[lease_id] = record._replace(view=view)
 
 
 class StandinWorkers:
--- a/tests/history/scene.py
+++ b/tests/history/scene.py
@@ -315,7 +315,7 @@
     def history(self) -> list[Event]:
         events = [*self.events, *self._recorded()]
         for worker in self.cell.workers.by_id.values():
-            worker.used()
+            worker.reserved()
             events += worker.events
         return events
 
