--- a/src/magnoliapitch/standin/submitter.py
+++ b/src/magnoliapitch/standin/submitter.py
@@ -77,7 +77,7 @@
         return None
 
     def is_done(self, job: SubmittedJob) -> bool:
-        """Return whether all tasks of the job have ended for good."""
+        """Return whether no task of the job has to run any more."""
         response = self._call("GET", f"/v1/jobs/{job.job_id}")
         if response.status != 200:
             return False
