--- /dev/null
+++ b/src/magnoliapitch/advice/channels.py
@@ -0,0 +1,146 @@
+"""Distribution of advisor calls over the instances.
+
+The advisor takes one call at a time from each instance, so an instance that
+needs several calls at once relays some of them through its peers.
+"""
+
+from __future__ import annotations
+
+import threading
+
+from typing import TYPE_CHECKING
+
+from result import Err
+from result import Result
+
+from magnoliapitch.advice.service import PeerAdvisor
+from magnoliapitch.event import log_event
+
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from magnoliapitch.clock import Clock
+    from magnoliapitch.http.client import HttpClient
+    from magnoliapitch.planner.plan import PlannedPermitRequest
+    from magnoliapitch.verdict import Failure
+    from magnoliapitch.workload.client import Advisor
+    from magnoliapitch.workload.run import Permit
+
+
+# Longer calls go through other instances while there are any, so that short
+# calls of this instance never wait behind them.
+MAX_SHORT_CALL_MS = 40.0
+# Time without calls through a peer after a call through it has failed.
+FAILURE_BACKOFF_MS = 2_000
+
+
+class AdvisorChannel:
+    """Advisor calls through one instance, at most one at a time.
+
+    :param name: ``own`` for this instance, otherwise the address of a peer.
+    :ivar retry_at_ms: time from which the channel may be used again after
+        a failed call.
+    """
+
+    def __init__(self, name: str, advisor: Advisor) -> None:
+        self.name = name
+        self.advisor = advisor
+        self.is_busy = False
+        self.retry_at_ms = 0
+
+
+class AdvisorChannelPool:
+    """Chooses an idle channel for each advisor call; thread-safe.
+
+    :param local_advisor: client with which this instance itself calls the
+        advisor.
+    """
+
+    def __init__(
+        self, local_advisor: Advisor, client: HttpClient, clock: Clock
+    ) -> None:
+        self._local_channel = AdvisorChannel("own", local_advisor)
+        self._client = client
+        self._clock = clock
+        self._lock = threading.Lock()
+        self._peer_channels_by_address: dict[str, AdvisorChannel] = {}
+
+    def set_peers(self, addresses_by_id: Mapping[str, str]) -> None:
+        """Replace the peers through which the advisor can be called.
+
+        :param addresses_by_id: ``IP:PORT`` of each peer by instance id.
+        """
+        with self._lock:
+            addresses = set(addresses_by_id.values())
+            for address in addresses - set(self._peer_channels_by_address):
+                advisor = PeerAdvisor(address, self._client)
+                self._peer_channels_by_address[address] = AdvisorChannel(
+                    address, advisor
+                )
+            for address in set(self._peer_channels_by_address) - addresses:
+                del self._peer_channels_by_address[address]
+
+    def reserve(self, request: PlannedPermitRequest) -> AdvisorChannel | None:
+        """Reserve an idle channel for a call.
+
+        :return: the channel, marked as busy, or None if none is idle.
+        """
+        now_ms = self._clock.now_ms()
+        with self._lock:
+            for channel in self._usable_channels(request, now_ms):
+                if not channel.is_busy:
+                    channel.is_busy = True
+                    return channel
+        return None
+
+    def idle_count(self) -> int:
+        """Return the number of channels that can be reserved now."""
+        now_ms = self._clock.now_ms()
+        with self._lock:
+            channels = [
+                self._local_channel,
+                *self._peer_channels_by_address.values(),
+            ]
+            return sum(
+                not channel.is_busy and now_ms >= channel.retry_at_ms
+                for channel in channels
+            )
+
+    def call(
+        self,
+        channel: AdvisorChannel,
+        request: PlannedPermitRequest,
+        timeout_ms: int,
+    ) -> Result[tuple[Permit, ...], Failure]:
+        """Request permits through a reserved channel, then release it.
+
+        After a failure, the channel of a peer is not used for
+        ``FAILURE_BACKOFF_MS``.
+
+        :param timeout_ms: how long the call may take.
+        """
+        outcome = channel.advisor.permits(
+            request.step, request.worker_ids, timeout_ms
+        )
+        with self._lock:
+            channel.is_busy = False
+            if isinstance(outcome, Err) and channel is not self._local_channel:
+                channel.retry_at_ms = self._clock.now_ms() + FAILURE_BACKOFF_MS
+                reason = outcome.err_value.detail
+                log_event(
+                    "advice-lane-rests", lane=channel.name, reason=reason
+                )
+        return outcome
+
+    def _usable_channels(
+        self, request: PlannedPermitRequest, now_ms: int
+    ) -> list[AdvisorChannel]:
+        peers = [
+            channel
+            for channel in self._peer_channels_by_address.values()
+            if now_ms >= channel.retry_at_ms
+        ]
+        if request.expected_call_ms <= MAX_SHORT_CALL_MS:
+            return [self._local_channel, *peers]
+        return peers or [self._local_channel]
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -39,7 +39,7 @@
     from magnoliapitch.decision.interface import Explanation
     from magnoliapitch.decision.interface import Placement
     from magnoliapitch.decision.interface import Scheduler
-    from magnoliapitch.journal.change import ChangedTask
+    from magnoliapitch.journal.job_change import ChangedTask
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
@@ -411,7 +411,7 @@
         ):
             self._tracker.requeue_unsent(channel, now_ms)
         self._tracker.requeue_without_presence(channel, now_ms)
-        call = channel.plan_call(now_ms, self._journal.last_read_ms)
+        call = channel.plan_call(now_ms, self._journal.last_caught_up_ms)
         if call is None:
             return
         channel.in_flight = call
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -183,7 +183,7 @@
             applied.
         """
         now_ms = self._clock.now_ms()
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         if read_ms is None or now_ms - read_ms > LOG_MAX_AGE_MS:
             return _log_unavailable(
                 f"no complete read of the log in the last {LOG_MAX_AGE_MS} ms"
