--- a/src/magnoliapitch/bench/decisions/attempt.py
+++ b/src/magnoliapitch/bench/decisions/attempt.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.decision.interface import TaskRequest
-from magnoliapitch.job.spec import AttemptName
+from magnoliapitch.job.spec import AttemptKey
 from magnoliapitch.job.spec import lease_id_of
 
 
@@ -45,7 +45,7 @@
     @property
     def task_id(self) -> str:
         """Lease id of the current attempt."""
-        name = AttemptName(self.job.job_id, self.number, self.attempt)
+        name = AttemptKey(self.job.job_id, self.number, self.attempt)
         return lease_id_of(name)
 
     def request(self, now_ms: int) -> TaskRequest:
--- a/src/magnoliapitch/job/attempt.py
+++ b/src/magnoliapitch/job/attempt.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.decision.interface import TaskRequest
-    from magnoliapitch.job.spec import AttemptName
+    from magnoliapitch.job.spec import AttemptKey
     from magnoliapitch.job.spec import TaskOutcome
     from magnoliapitch.resource import Resources
 
@@ -55,7 +55,7 @@
     __slots__ = (
         "boot_id",
         "expires_at_ms",
-        "name",
+        "key",
         "outcome",
         "payload",
         "reserved",
@@ -66,13 +66,13 @@
 
     def __init__(
         self,
-        name: AttemptName,
+        key: AttemptKey,
         task: TaskRequest,
         worker_id: str,
         reserved: Resources,
         payload: str = "",
     ) -> None:
-        self.name = name
+        self.key = key
         self.task = task
         self.worker_id = worker_id
         self.reserved = reserved
@@ -83,9 +83,9 @@
         self.outcome: TaskOutcome | None = None
 
     @property
-    def key(self) -> TaskKey:
+    def task_key(self) -> TaskKey:
         """Key of the task that this attempt belongs to."""
-        return TaskKey(self.name.job_id, self.name.task)
+        return TaskKey(self.key.job_id, self.key.task)
 
     def mark_sent(self, boot_id: str, expires_at_ms: int) -> None:
         """Record that the grant is being sent to the worker.
--- a/src/magnoliapitch/job/backlog.py
+++ b/src/magnoliapitch/job/backlog.py
@@ -10,7 +10,7 @@
 from magnoliapitch.catalogue.entry import WorkClass
 from magnoliapitch.decision.interface import TaskRequest
 from magnoliapitch.job.attempt import TaskKey
-from magnoliapitch.job.spec import AttemptName
+from magnoliapitch.job.spec import AttemptKey
 from magnoliapitch.job.spec import TaskOutcome
 from magnoliapitch.job.spec import lease_id_of
 
@@ -211,7 +211,7 @@
     attempt = job.attempts_by_task.get(key.task, 0)
     deadline_ms = job.spec.deadline_ms
     return TaskRequest(
-        lease_id_of(AttemptName(key.job_id, key.task, attempt)),
+        lease_id_of(AttemptKey(key.job_id, key.task, attempt)),
         key.job_id,
         job.spec.entry,
         entry.owner,
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -361,20 +361,20 @@
         self, placements: tuple[Placement, ...], now_ms: int
     ) -> None:
         for placement in placements:
-            name = parse_lease_id(placement.task_id)
+            attempt_key = parse_lease_id(placement.task_id)
             channel = self._channels_by_worker.get(placement.worker_id)
-            if name is None or channel is None:
+            if attempt_key is None or channel is None:
                 continue
-            key = TaskKey(name.job_id, name.task)
-            task = self._backlog.pop(key)
+            task_key = TaskKey(attempt_key.job_id, attempt_key.task)
+            task = self._backlog.pop(task_key)
             if task is None:
                 continue
             attempt = Attempt(
-                name,
+                attempt_key,
                 task,
                 placement.worker_id,
                 placement.reserved,
-                self._payload(name.job_id),
+                self._payload(attempt_key.job_id),
             )
             self._tracker.add(channel, attempt)
             waited_ms = now_ms - task.submitted_ms
--- a/src/magnoliapitch/job/spec.py
+++ b/src/magnoliapitch/job/spec.py
@@ -67,7 +67,7 @@
     CANCELLED = "cancelled"
 
 
-class AttemptName(NamedTuple):
+class AttemptKey(NamedTuple):
     """Identity of one attempt of one task of a job.
 
     :param task: number of the task in its job, from 0.
@@ -79,14 +79,14 @@
     attempt: int
 
 
-def lease_id_of(name: AttemptName) -> str:
+def lease_id_of(key: AttemptKey) -> str:
     """Return the lease id of a task attempt."""
-    return f"{name.job_id}/{name.task}/{name.attempt}"
+    return f"{key.job_id}/{key.task}/{key.attempt}"
 
 
-def parse_lease_id(lease_id: str) -> AttemptName | None:
+def parse_lease_id(lease_id: str) -> AttemptKey | None:
     """Return the task attempt of a lease id, ``None`` for other leases."""
     match = _LEASE_ID.fullmatch(lease_id)
     if match is None:
         return None
-    return AttemptName(match[1], int(match[2]), int(match[3]))
+    return AttemptKey(match[1], int(match[2]), int(match[3]))
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -9,7 +9,7 @@
 from magnoliapitch.job.attempt import Attempt
 from magnoliapitch.job.attempt import AttemptState
 from magnoliapitch.job.attempt import TaskKey
-from magnoliapitch.job.spec import AttemptName
+from magnoliapitch.job.spec import AttemptKey
 from magnoliapitch.job.spec import TaskOutcome
 from magnoliapitch.job.spec import parse_lease_id
 from magnoliapitch.journal.record import TaskEnd
@@ -77,8 +77,10 @@
 
     def add(self, channel: WorkerChannel, attempt: Attempt) -> None:
         """Start to track an attempt on a worker."""
-        attempt_by_number = self._attempts_by_task.setdefault(attempt.key, {})
-        attempt_by_number[attempt.name.attempt] = attempt
+        attempt_by_number = self._attempts_by_task.setdefault(
+            attempt.task_key, {}
+        )
+        attempt_by_number[attempt.key.attempt] = attempt
         channel.attempts_by_lease[attempt.task.task_id] = attempt
 
     def has_unconfirmed_grant(self, channel: WorkerChannel) -> bool:
@@ -167,7 +169,7 @@
         self._remove(channel, attempt)
         lease_id = attempt.task.task_id
         self._scheduler.record_task_end(lease_id, TaskOutcome.LOST, now_ms)
-        self._backlog.add_task(attempt.key, now_ms)
+        self._backlog.add_task(attempt.task_key, now_ms)
 
     def remove_channel(self, channel: WorkerChannel, now_ms: int) -> None:
         """Stop tracking the attempts of a worker that is no longer owned."""
@@ -238,11 +240,13 @@
     ) -> None:
         """Request the end of leases on the workers that they run on."""
         for lease_id in lease_ids:
-            name = parse_lease_id(lease_id)
-            if name is None:
+            attempt_key = parse_lease_id(lease_id)
+            if attempt_key is None:
                 continue
-            key = TaskKey(name.job_id, name.task)
-            attempt = self._attempts_by_task.get(key, {}).get(name.attempt)
+            key = TaskKey(attempt_key.job_id, attempt_key.task)
+            attempt = self._attempts_by_task.get(key, {}).get(
+                attempt_key.attempt
+            )
             if attempt is None:
                 continue
             channel = channels_by_worker.get(attempt.worker_id)
@@ -308,7 +312,7 @@
         attempt is not recorded while the presence lease does not cover the
         task.
         """
-        key = attempt.key
+        key = attempt.task_key
         with self._journal.reading() as state:
             job = state.jobs_by_id.get(key.job_id)
             recorded_attempts = (
@@ -317,7 +321,7 @@
             is_over = (
                 job is None or job.is_done or job.unit != channel.worker.unit
             )
-        if is_over or recorded_attempts > attempt.name.attempt:
+        if is_over or recorded_attempts > attempt.key.attempt:
             channel.pending_stops[attempt.task.task_id] = None
             self._remove(channel, attempt)
             self._backlog.add_task(key, 0)
@@ -332,7 +336,7 @@
             return
         if attempt.outcome is not None:
             self._pending_ends_by_task[key] = self._journal.enqueue(
-                TaskEnd(*attempt.name, attempt.outcome)
+                TaskEnd(*attempt.key, attempt.outcome)
             )
 
     def _may_keep(self, attempt: Attempt) -> bool:
@@ -343,16 +347,20 @@
     def _adopt_lease(
         self, channel: WorkerChannel, lease: LeaseView, now_ms: int
     ) -> None:
-        name = parse_lease_id(lease.lease_id)
+        attempt_key = parse_lease_id(lease.lease_id)
         with self._journal.reading() as state:
-            job = state.jobs_by_id.get(name.job_id) if name else None
+            job = (
+                state.jobs_by_id.get(attempt_key.job_id)
+                if attempt_key
+                else None
+            )
             versioned_entry = state.catalogue_by_name.get(lease.entry)
-        if name is None:
+        if attempt_key is None:
             return
         entry = versioned_entry.entry if versioned_entry else None
         task = TaskRequest(
             lease.lease_id,
-            name.job_id,
+            attempt_key.job_id,
             lease.entry,
             entry.owner if entry else "",
             entry.work_class if entry else WorkClass.BATCH,
@@ -361,29 +369,29 @@
             now_ms,
         )
         worker_id = channel.worker.instance_id
-        attempt = Attempt(name, task, worker_id, lease.resources)
+        attempt = Attempt(attempt_key, task, worker_id, lease.resources)
         self.add(channel, attempt)
         self._scheduler.adopt(task, worker_id, lease.resources)
-        if _is_obsolete(job, name, channel):
+        if _is_obsolete(job, attempt_key, channel):
             channel.pending_stops[lease.lease_id] = None
         self._observe_listed(channel, attempt, lease, now_ms)
 
     def _remove(self, channel: WorkerChannel, attempt: Attempt) -> None:
         channel.attempts_by_lease.pop(attempt.task.task_id, None)
         channel.pending_starts.pop(attempt.task.task_id, None)
-        attempt_by_number = self._attempts_by_task.get(attempt.key, {})
-        if attempt_by_number.get(attempt.name.attempt) is attempt:
-            del attempt_by_number[attempt.name.attempt]
+        attempt_by_number = self._attempts_by_task.get(attempt.task_key, {})
+        if attempt_by_number.get(attempt.key.attempt) is attempt:
+            del attempt_by_number[attempt.key.attempt]
         if not attempt_by_number:
-            self._attempts_by_task.pop(attempt.key, None)
+            self._attempts_by_task.pop(attempt.task_key, None)
 
 
 def _is_obsolete(
-    job: JobRecord | None, name: AttemptName, channel: WorkerChannel
+    job: JobRecord | None, attempt_key: AttemptKey, channel: WorkerChannel
 ) -> bool:
     if job is None or job.is_done or job.unit != channel.worker.unit:
         return True
-    return name.attempt < job.attempts_by_task.get(name.task, 0)
+    return attempt_key.attempt < job.attempts_by_task.get(attempt_key.task, 0)
 
 
 def _outcome_of(task: TaskRequest, lease: LeaseView) -> TaskOutcome:
--- a/src/magnoliapitch/standin/audit.py
+++ b/src/magnoliapitch/standin/audit.py
@@ -88,17 +88,17 @@
         worker_by_task: dict[tuple[str, int], str] = {}
         for worker_id, target in self.by_id.items():
             for lease in target.view().leases:
-                name = parse_lease_id(lease.lease_id)
+                key = parse_lease_id(lease.lease_id)
                 if (
-                    name is None
+                    key is None
                     or lease.kind is not LeaseKind.TASK
                     or lease.state is not LeaseState.RUNNING
                 ):
                     continue
-                task = (name.job_id, name.task)
+                task = (key.job_id, key.task)
                 other_id = worker_by_task.setdefault(task, worker_id)
                 if other_id != worker_id:
                     self._problems.append(
-                        f"task {name.task} of {name.job_id} runs on "
+                        f"task {key.task} of {key.job_id} runs on "
                         f"{other_id} and {worker_id}"
                     )
--- a/src/magnoliapitch/standin/demo.py
+++ b/src/magnoliapitch/standin/demo.py
@@ -175,9 +175,9 @@
             self._done_job_ids.add(job.job_id)
 
     def _count_started_tasks(self, job: SubmittedJob) -> int:
-        names = [parse_lease_id(i.lease_id) for i in self._workers.history]
+        keys = [parse_lease_id(i.lease_id) for i in self._workers.history]
         return len(
-            {name.task for name in names if name and name.job_id == job.job_id}
+            {key.task for key in keys if key and key.job_id == job.job_id}
         )
 
     def _disconnect_instances(self) -> None:
@@ -209,13 +209,13 @@
         jobs_by_id = {job.job_id: job for job in self._jobs}
         started: set[tuple[str, int]] = set()
         for start in self._workers.history:
-            name = parse_lease_id(start.lease_id)
-            job = jobs_by_id.get(name.job_id) if name else None
-            if job is None or name is None:
+            key = parse_lease_id(start.lease_id)
+            job = jobs_by_id.get(key.job_id) if key else None
+            if job is None or key is None:
                 continue
-            if (name.job_id, name.task) in started:
+            if (key.job_id, key.task) in started:
                 continue
-            started.add((name.job_id, name.task))
+            started.add((key.job_id, key.task))
             wait_class = f"{job.work_class.value} tasks"
             timer = timers.setdefault(wait_class, Timer())
             timer.record(start.at_ms - job.accepted_ms)
