--- a/src/magnoliapitch/bench/decisions/replayed_job.py
+++ b/src/magnoliapitch/bench/decisions/replayed_job.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.decision.interface import TaskRequest
-from magnoliapitch.job.spec import AttemptName
+from magnoliapitch.job.spec import AttemptKey
 from magnoliapitch.job.spec import lease_id_of
 
 
@@ -50,7 +50,7 @@
     @property
     def task_id(self) -> str:
         """Lease id of the current attempt, as the job manager names it."""
-        name = AttemptName(
+        name = AttemptKey(
             self.traced_job.job_id, self.number, self.attempt_number
         )
         return lease_id_of(name)
--- a/src/magnoliapitch/console/dev.py
+++ b/src/magnoliapitch/console/dev.py
@@ -12,7 +12,7 @@
 from magnoliapitch.standin.deployment import Deployment
 from magnoliapitch.standin.deployment import load_deployment
 from magnoliapitch.standin.exceptions import InvalidDeploymentError
-from magnoliapitch.standin.serving import ServingCell
+from magnoliapitch.standin.serving import ServingCluster
 
 
 def dev(
@@ -36,17 +36,17 @@
     loaded_deployment = read_deployment(deployment)
     configure_logging("dev", loaded_deployment.name, EventLevel.WARNING)
     exit_codes = install_stop_signals()
-    serving_cell = ServingCell(loaded_deployment, platform_port)
-    serving_cell.start(
+    serving_cluster = ServingCluster(loaded_deployment, platform_port)
+    serving_cluster.start(
         loaded_deployment.entries if entries is None else entries
     )
     try:
-        _print_urls(serving_cell)
+        _print_urls(serving_cluster)
         exit_codes.get()
     finally:
         # Printing fails if the output is closed; without this the threads
         # would then keep the process alive.
-        serving_cell.stop()
+        serving_cluster.stop()
 
 
 def read_deployment(file: Path) -> Deployment:
@@ -60,12 +60,12 @@
         raise CommandError(str(error), ExitCode.INVALID_FILE) from error
 
 
-def _print_urls(serving_cell: ServingCell) -> None:
-    url = serving_cell.server.url
-    print(f"deployment {serving_cell.deployment.name}")
+def _print_urls(serving_cluster: ServingCluster) -> None:
+    url = serving_cluster.server.url
+    print(f"deployment {serving_cluster.deployment.name}")
     print(f"log {url}/log")
     print(f"instance-list {url}")
-    for node in serving_cell.cell.entries:
+    for node in serving_cluster.cluster.entries:
         address = node.settings.address
         print(
             f"{node.settings.instance_id} zone {node.settings.zone} "
--- a/src/magnoliapitch/job/spec.py
+++ b/src/magnoliapitch/job/spec.py
@@ -1,4 +1,4 @@
-"""What callers submit as a job, and names of its task attempts."""
+"""Job specifications, and lease ids of the attempts of their tasks."""
 
 from __future__ import annotations
 
@@ -16,18 +16,20 @@
 
 JOB_ID_PATTERN = r"[A-Za-z0-9._-]{1,128}"
 
-PART_MAX = 10**9
+RESOURCE_AMOUNT_MAX = 10**9
 
 _LEASE_ID = re.compile(rf"({JOB_ID_PATTERN})/([0-9]+)/([0-9]+)")
 
 
-def _check_size(size: Resources) -> Resources:
-    if min(size) < 0 or max(size) > PART_MAX:
-        raise ValueError(f"each part must be from 0 to {PART_MAX}")
-    return size
+def _check_resources(resources: Resources) -> Resources:
+    if min(resources) < 0 or max(resources) > RESOURCE_AMOUNT_MAX:
+        raise ValueError(
+            f"each amount must be from 0 to {RESOURCE_AMOUNT_MAX}"
+        )
+    return resources
 
 
-TaskSize = Annotated[Resources, AfterValidator(_check_size)]
+TaskResources = Annotated[Resources, AfterValidator(_check_resources)]
 JobId = Annotated[str, Field(pattern=rf"^{JOB_ID_PATTERN}$")]
 
 
@@ -37,23 +39,27 @@
     :param job_id: unique id; submitting the same id again is idempotent.
     :param entry: catalogue entry that the job belongs to.
     :param tasks: number of identical tasks.
-    :param resources: declared size of each task.
-    :param run_ms: declared run time of each task, in milliseconds.
-    :param deadline_ms: wanted completion after submission, 0 for none.
+    :param resources: resources that each task reserves.
+    :param run_ms: expected run time of each task, in milliseconds.
+    :param deadline_ms: time from submission within which the job should
+        complete, in milliseconds; 0 means no deadline.
     :param payload: opaque input of every task.
     """
 
     job_id: JobId
     entry: str
     tasks: Annotated[int, Field(ge=1, le=100_000)]
-    resources: TaskSize
+    resources: TaskResources
     run_ms: Annotated[int, Field(ge=1)] = 60_000
     deadline_ms: Annotated[int, Field(ge=0)] = 0
     payload: str = ""
 
 
 class TaskOutcome(StrEnum):
-    """How one attempt of a task ended."""
+    """How one attempt of a task ended.
+
+    - ``LOST``: it never started, or its lease ended without a result.
+    """
 
     FINISHED = "finished"
     FAILED = "failed"
@@ -61,22 +67,26 @@
     CANCELLED = "cancelled"
 
 
-class AttemptName(NamedTuple):
-    """Identifies one attempt of one task of a job."""
+class AttemptKey(NamedTuple):
+    """Identity of one attempt of one task of a job.
+
+    :param task: number of the task in its job, from 0.
+    :param attempt: number of the attempt, from 0.
+    """
 
     job_id: str
     task: int
     attempt: int
 
 
-def lease_id_of(name: AttemptName) -> str:
+def lease_id_of(key: AttemptKey) -> str:
     """Return the lease id of a task attempt."""
-    return f"{name.job_id}/{name.task}/{name.attempt}"
+    return f"{key.job_id}/{key.task}/{key.attempt}"
 
 
-def parse_lease_id(lease_id: str) -> AttemptName | None:
-    """Return the attempt that a lease id names, if it names one."""
-    found = _LEASE_ID.fullmatch(lease_id)
-    if found is None:
+def parse_lease_id(lease_id: str) -> AttemptKey | None:
+    """Return the task attempt of a lease id, ``None`` for other leases."""
+    match = _LEASE_ID.fullmatch(lease_id)
+    if match is None:
         return None
-    return AttemptName(found[1], int(found[2]), int(found[3]))
+    return AttemptKey(match[1], int(match[2]), int(match[3]))
--- a/src/magnoliapitch/standin/server.py
+++ b/src/magnoliapitch/standin/server.py
@@ -1,4 +1,4 @@
-"""Serves the stand-ins over HTTP, for entries in other processes."""
+"""HTTP server of the stand-ins, for entry instances in other processes."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def platform_application(
     log: StandinLog, instance_list: StandinInstanceList
 ) -> Application:
-    """Return the platform's log and list as an application."""
+    """Return an application that serves the log and the instance list."""
     application = Application(BODY_MAX_BYTES)
 
     @application.route("POST", "/log/append")
@@ -66,13 +66,13 @@
         )
         return _respond(
             outcome,
-            lambda part: {
+            lambda log_slice: {
                 "records": [
                     {"offset": item.offset, "data": item.data.decode()}
-                    for item in part.records
+                    for item in log_slice.records
                 ],
-                "oldest": part.oldest,
-                "head": part.head,
+                "oldest": log_slice.oldest,
+                "head": log_slice.head,
             },
         )
 
@@ -91,7 +91,7 @@
     workers: StandinWorkers,
     infos_by_id: dict[str, InstanceInfo],
 ) -> None:
-    """Serve workers below ``/workers/ID``."""
+    """Add the routes of the workers, below ``/workers/ID``."""
 
     def respond(outcome: Result[WorkerView, Failure]) -> HttpResponse:
         return _respond(outcome, to_json_value)
@@ -143,7 +143,7 @@
     backends: StandinBackends,
     infos_by_id: dict[str, InstanceInfo],
 ) -> None:
-    """Serve backend servers below ``/backends/ID``."""
+    """Add the routes of the backend servers, below ``/backends/ID``."""
 
     @application.route("POST", "/backends/{server}/requests/{entry}")
     def execute(request: HttpRequest) -> HttpResponse:
@@ -164,18 +164,20 @@
     if isinstance(outcome, Err):
         failure = outcome.err_value
         if failure.verdict is not Verdict.NOT_RUN:
-            other = ((REQUEST_ID_HEADER, "other"),)
-            return HttpResponse(200, b"{}", headers=other)
+            wrong_id = ((REQUEST_ID_HEADER, "other"),)
+            return HttpResponse(200, b"{}", headers=wrong_id)
         headers: tuple[tuple[str, str], ...] = ((NOT_RUN_HEADER, "1"),)
         if failure.code is FailureCode.SHUTTING_DOWN:
             headers += ((LEAVING_HEADER, "1"),)
         return HttpResponse(503, headers=headers)
     answer = outcome.ok_value
-    repeated: tuple[tuple[str, str], ...] = ((REQUEST_ID_HEADER, request_id),)
+    answer_headers: tuple[tuple[str, str], ...] = (
+        (REQUEST_ID_HEADER, request_id),
+    )
     if answer.leaving:
-        repeated += ((LEAVING_HEADER, "1"),)
+        answer_headers += ((LEAVING_HEADER, "1"),)
     return HttpResponse(
-        answer.status, answer.body, answer.content_type, repeated
+        answer.status, answer.body, answer.content_type, answer_headers
     )
 
 
@@ -187,10 +189,10 @@
     return json_response(encode(outcome.ok_value))
 
 
-class CellServer:
-    """Serves the stand-ins of a deployment on one loopback port.
+class StandinServer:
+    """Serves the stand-ins of a cluster on one loopback port.
 
-    Worker and backend URLs of the instance list point at this server.
+    The URLs of workers and backend servers in the instance list point at it.
     """
 
     def __init__(
@@ -215,7 +217,10 @@
         self._instance_list = instance_list
 
     def start(self) -> None:
-        """Bind, publish the URLs and serve."""
+        """Start to serve and set the URLs in the instance list.
+
+        :raises StartError: if the port cannot be bound.
+        """
         self._listener.start()
         for instance_id, info in self._instance_list.by_id.items():
             kind = (
@@ -230,5 +235,5 @@
 
     @property
     def url(self) -> str:
-        """Base address of the server."""
+        """Base URL of the server."""
         return f"http://127.0.0.1:{self._listener.port}"
--- a/src/magnoliapitch/standin/submitter.py
+++ b/src/magnoliapitch/standin/submitter.py
@@ -1,4 +1,4 @@
-"""Callers that submit jobs and watch them to their end."""
+"""Caller that submits jobs and polls them until they are done."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
     from magnoliapitch.standin.deployment import JobPlan
 
 
-ATTEMPTS_MAX = 100
-RETRY_S = 0.05
+MAX_ATTEMPTS = 100
+RETRY_DELAY_S = 0.05
 TIMEOUT_S = 30
-ACCEPTED = 202
+STATUS_ACCEPTED = 202
 
 
 class SubmittedJob(NamedTuple):
-    """A job that was accepted.
+    """A job that an entry instance has accepted.
 
-    :param accepted_ms: monotonic time of the acceptance.
+    :param tasks: number of tasks.
+    :param accepted_ms: monotonic time of the acceptance, in milliseconds.
     """
 
     job_id: str
@@ -39,17 +40,24 @@
 
 
 class JobSubmitter:
-    """Submits and watches jobs through all entries in turn."""
+    """Submits, polls and cancels jobs, using the entry instances in turn.
+
+    :param urls: base URLs at which the entry instances serve callers.
+    """
 
     def __init__(self, urls: Sequence[str]) -> None:
         self._urls = urls
-        self._calls = 0
+        self._call_count = 0
         self._pool = urllib3.PoolManager(retries=False)
 
     def submit(
         self, plan: JobPlan, number: int, work_class: WorkClass
     ) -> SubmittedJob | None:
-        """Submit one job; return ``None`` if it is not accepted."""
+        """Submit one job, with retries.
+
+        :param number: number of the job among those of the plan.
+        :return: ``None`` if no attempt was accepted.
+        """
         job_id = f"{plan.entry}-{number}"
         body = orjson.dumps(
             {
@@ -61,31 +69,31 @@
                 "payload": f"run_ms={plan.run_ms}",
             }
         )
-        for _ in range(ATTEMPTS_MAX):
-            if self._call("POST", "/v1/jobs", body).status == ACCEPTED:
+        for _ in range(MAX_ATTEMPTS):
+            if self._call("POST", "/v1/jobs", body).status == STATUS_ACCEPTED:
                 now_ms = time.monotonic() * 1_000
                 return SubmittedJob(job_id, work_class, plan.tasks, now_ms)
-            time.sleep(RETRY_S)
+            time.sleep(RETRY_DELAY_S)
         return None
 
     def is_done(self, job: SubmittedJob) -> bool:
-        """Return whether nothing of the job has to run any more."""
-        answer = self._call("GET", f"/v1/jobs/{job.job_id}")
-        if answer.status != 200:
+        """Return whether no task of the job has to run any more."""
+        response = self._call("GET", f"/v1/jobs/{job.job_id}")
+        if response.status != 200:
             return False
-        status: Any = answer.json()
+        status: Any = response.json()
         return bool(status["done"])
 
     def cancel(self, job: SubmittedJob) -> bool:
-        """Cancel a job; return whether that was accepted."""
-        answer = self._call("DELETE", f"/v1/jobs/{job.job_id}")
-        return answer.status == 200
+        """Cancel a job and return whether the call succeeded."""
+        response = self._call("DELETE", f"/v1/jobs/{job.job_id}")
+        return response.status == 200
 
     def _call(
         self, method: str, path: str, body: bytes = b""
     ) -> urllib3.BaseHTTPResponse:
-        self._calls += 1
-        url = self._urls[self._calls % len(self._urls)]
+        self._call_count += 1
+        url = self._urls[self._call_count % len(self._urls)]
         return self._pool.request(
             method, url + path, body=body, timeout=TIMEOUT_S
         )
