--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -1,4 +1,4 @@
-"""Decisions of the leader, made from events and carried out by effects."""
+"""Decisions of the leader, made on events and carried out by ``Effects``."""
 
 from __future__ import annotations
 
@@ -50,11 +50,12 @@
 class Controller:
     """Schedules tasks on all workers while this instance leads.
 
-    It stands for one epoch of leadership, handles events, plans rounds and
-    leaves calls to its effects. One thread uses it; only
-    ``next_lease_deadline`` is also called by the lease renewal threads.
+    Each epoch of leadership has its own controller, which handles events and
+    plans rounds; ``effects`` makes the calls to other systems. One thread
+    uses it; only ``next_lease_deadline`` is also called by the lease renewal
+    threads.
 
-    :param leader: stored claim to leadership, with its epoch.
+    :param leader: stored claim of leadership, with its epoch.
     :param claimed_ms: when the claim was stored, by this instance's clock.
     :param configuration: returns the newest configuration, or None if none
         was read yet.
@@ -67,7 +68,7 @@
         leader: LeaderRecord,
         claimed_ms: int,
         timing: ControlTiming,
-        replica: JobTable,
+        job_table: JobTable,
         state_table: StateTable,
         effects: Effects,
         configuration: Callable[[], Configuration | None],
@@ -78,7 +79,7 @@
         self.planner = Planner()
         self._leader = leader
         self._timing = timing
-        self._replica = replica
+        self._job_table = job_table
         self._effects = effects
         self._configuration = configuration
         self._metrics = metrics
@@ -104,9 +105,9 @@
         return self._leader.epoch
 
     def load(self, now_ms: int) -> None:
-        """Add every open job from the replica of the store."""
+        """Add the stored jobs whose final state is not published yet."""
         self._progress_batcher.load(now_ms)
-        for job in self._replica.jobs():
+        for job in self._job_table.jobs():
             self._add_job(job, now_ms)
         log_event(
             "leadership-begun",
@@ -157,7 +158,7 @@
     ) -> None:
         """Add submitted jobs and cancel cancelled ones."""
         for job_id in job_ids:
-            stored = self._replica.get(job_id)
+            stored = self._job_table.get(job_id)
             known = self.state.jobs_by_id.get(job_id)
             if stored is None:
                 continue
@@ -177,7 +178,7 @@
         for job in self.state.jobs_by_id.values():
             queue = configuration.queues_by_name.get(job.spec.queue)
             job.queue = queue or job.queue
-        for stored in self._replica.jobs():
+        for stored in self._job_table.jobs():
             if stored.spec and stored.spec.job_id not in self.state.jobs_by_id:
                 self._add_job(stored, now_ms)
 
--- a/src/magnoliapitch/control/driver.py
+++ b/src/magnoliapitch/control/driver.py
@@ -68,12 +68,14 @@
 class Clients(NamedTuple):
     """Clients of the systems that a leader calls.
 
-    :param lanes: distributes advisor calls over the instances.
+    :param advisor_channels: channels for advisor calls through this instance
+        and its peers.
     :param members: lists the other instances.
+    :param directory: lists the workers.
     """
 
     workers: WorkerClient
-    lanes: AdvisorChannelPool
+    advisor_channels: AdvisorChannelPool
     members: Members
     directory: Directory
 
@@ -83,8 +85,8 @@
 
     :param configuration: returns the newest configuration, or None if none
         was read yet.
-    :param open_archive: opens the archive of jobs; takes a callback for the
-        ids of jobs that were submitted or cancelled.
+    :param open_job_follower: returns a new follower of the stored jobs; takes
+        a callback for the ids of jobs that were submitted or cancelled.
     """
 
     def __init__(
@@ -95,7 +97,7 @@
         timing: ControlTiming,
         clock: Clock,
         configuration: Callable[[], Configuration | None],
-        open_archive: Callable[
+        open_job_follower: Callable[
             [Callable[[frozenset[str]], None]], JobFollower
         ],
         metrics: Metrics,
@@ -106,9 +108,9 @@
         self._timing = timing
         self._clock = clock
         self._configuration = configuration
-        self._open_archive = open_archive
+        self._open_job_follower = open_job_follower
         self._metrics = metrics
-        self._archive: JobFollower | None = None
+        self._job_follower: JobFollower | None = None
         self._job_ids_to_delete: set[str] = set()
         self._events: queue.SimpleQueue[Event] = queue.SimpleQueue()
         self._renewer_by_worker: dict[str, LeaseRenewer] = {}
@@ -151,8 +153,13 @@
         claim = self._leadership.claim
         if claim is None or self._is_stopping:
             return None
-        archive = self._open_archive(lambda ids: self.post(JobsChanged(ids)))
-        for prepare in (self._leadership.fence_former_leaders, archive.load):
+        job_follower = self._open_job_follower(
+            lambda ids: self.post(JobsChanged(ids))
+        )
+        for prepare in (
+            self._leadership.fence_former_leaders,
+            job_follower.load,
+        ):
             outcome = prepare()
             if isinstance(outcome, Err):
                 self._handle_unprepared(outcome.err_value)
@@ -163,7 +170,7 @@
             claim.record,
             claim.stored_ms,
             self._timing,
-            archive.job_table,
+            job_follower.job_table,
             self._state_table,
             self,
             self._configuration,
@@ -171,7 +178,7 @@
         )
         controller.load(self._clock.now_ms())
         self._controller = controller
-        self._archive = archive
+        self._job_follower = job_follower
         return controller
 
     def follow_jobs(self) -> int:
@@ -179,8 +186,12 @@
 
         :return: pause until the next call, in milliseconds.
         """
-        archive = self._archive
-        return STANDBY_POLL_INTERVAL_MS if archive is None else archive.step()
+        job_follower = self._job_follower
+        return (
+            STANDBY_POLL_INTERVAL_MS
+            if job_follower is None
+            else job_follower.step()
+        )
 
     def _handle_unprepared(self, failure: Failure) -> None:
         if failure.code in (FailureCode.FENCED, FailureCode.SEQUENCE):
@@ -189,7 +200,7 @@
 
     def _stop_leading(self) -> None:
         self._controller = None
-        self._archive = None
+        self._job_follower = None
         for worker_id in list(self._renewer_by_worker):
             self.stop_lease_renewal(worker_id)
         if self._is_stopping:
@@ -243,18 +254,18 @@
             self._list_executor.submit(self._refresh_now)
 
     def _delete_jobs_now(self) -> None:
-        archive = self._archive
-        if archive is None or not self._job_ids_to_delete:
+        job_follower = self._job_follower
+        if job_follower is None or not self._job_ids_to_delete:
             return
         job_ids = sorted(self._job_ids_to_delete)[:MAX_JOBS_PER_DELETION]
-        if not isinstance(archive.delete_jobs(job_ids), Err):
+        if not isinstance(job_follower.delete_jobs(job_ids), Err):
             self._job_ids_to_delete.difference_update(job_ids)
 
     def _refresh_now(self) -> None:
         self._delete_jobs_now()
         peers = self._clients.members.peers()
         if not isinstance(peers, Err):
-            self._clients.lanes.set_peers(peers.ok_value)
+            self._clients.advisor_channels.set_peers(peers.ok_value)
         outcome = self._clients.directory.workers()
         self._is_refreshing = False
         if isinstance(outcome, Err):
@@ -314,21 +325,21 @@
     def request_permits(
         self, request: PlannedPermitRequest, timeout_ms: int
     ) -> bool:
-        """Call the advisor for permits if a lane is idle.
+        """Call the advisor for permits if a channel to it is idle.
 
         :return: whether the call was started.
         """
-        lane = self._clients.lanes.reserve(request)
-        if lane is None:
+        channel = self._clients.advisor_channels.reserve(request)
+        if channel is None:
             return False
         self._advisor_executor.submit(
-            self._request_permits_now, lane, request, timeout_ms
+            self._request_permits_now, channel, request, timeout_ms
         )
         return True
 
     def available_advisor_calls(self) -> int:
         """Return the number of advisor calls that can be started now."""
-        return self._clients.lanes.idle_count()
+        return self._clients.advisor_channels.idle_count()
 
     def _commit_now(self, batch: Batch) -> None:
         outcome: Result[int, Failure] = Err(_stopped())
@@ -343,12 +354,14 @@
 
     def _request_permits_now(
         self,
-        lane: AdvisorChannel,
+        channel: AdvisorChannel,
         request: PlannedPermitRequest,
         timeout_ms: int,
     ) -> None:
         sent_ms = self._clock.now_ms()
-        outcome = self._clients.lanes.call(lane, request, timeout_ms)
+        outcome = self._clients.advisor_channels.call(
+            channel, request, timeout_ms
+        )
         self.post(PermitsAnswered(request, outcome, sent_ms))
 
 
--- a/src/magnoliapitch/control/effects.py
+++ b/src/magnoliapitch/control/effects.py
@@ -52,7 +52,7 @@
     def request_permits(
         self, request: PlannedPermitRequest, timeout_ms: int
     ) -> bool:
-        """Call the advisor for permits, unless every lane to it is busy.
+        """Call the advisor for permits, unless every channel is busy.
 
         :return: whether the call was started and an event will follow.
         """
--- a/src/magnoliapitch/control/events.py
+++ b/src/magnoliapitch/control/events.py
@@ -72,7 +72,7 @@
 
 
 class Committed(NamedTuple):
-    """A batch was stored, or could not be and the leadership is lost.
+    """A batch was stored, or failed for good, which ends the leadership.
 
     :param sent_ms: when the last attempt was sent.
     """
--- a/src/magnoliapitch/control/progress_batcher.py
+++ b/src/magnoliapitch/control/progress_batcher.py
@@ -76,8 +76,8 @@
 
     def has_ended(self, job_id: str) -> bool:
         """Return whether a final state of a job is published."""
-        shown = self._state_table.get(job_id)
-        return shown is not None and shown.state in FINAL_STATES
+        published = self._state_table.get(job_id)
+        return published is not None and published.state in FINAL_STATES
 
     def record_added(self, job_id: str) -> None:
         """Record a job that was added to the scheduler's state."""
@@ -92,13 +92,15 @@
 
         :param has_starts: whether start orders wait for the batch.
         """
-        is_quiet = now_ms - self._published_ms < HEARTBEAT_INTERVAL_MS
-        has_news = (
+        has_published_lately = (
+            now_ms - self._published_ms < HEARTBEAT_INTERVAL_MS
+        )
+        has_changes = (
             has_starts
             or self._state.unsaved_job_ids
             or self._unpublished_job_ids
         )
-        if is_quiet and not has_news:
+        if has_published_lately and not has_changes:
             return None
         batch = Batch(self._progress_records(), self._state_records(now_ms))
         if batch.states:
@@ -115,12 +117,12 @@
             if progress.outcome is not JobOutcome.OPEN:
                 self._finished_job_ids.add(job_id)
                 self._ended_ms_by_job[job_id] = now_ms
-        for job_id, shown in self._states_in_commit_by_id.items():
-            self._state_table.put(job_id, shown)
+        for job_id, published in self._states_in_commit_by_id.items():
+            self._state_table.put(job_id, published)
         self._states_in_commit_by_id = {}
 
     def _progress_records(self) -> tuple[KeyedRecord, ...]:
-        removed = self._remove_finished_jobs()
+        removed_job_ids = self._remove_finished_jobs()
         self._unpublished_job_ids |= self._state.unsaved_job_ids
         self._progress_in_commit_by_id = {
             job_id: self._state.progress(job_id)
@@ -131,7 +133,7 @@
         return (
             *(
                 KeyedRecord(PROGRESS_PREFIX + job_id, b"")
-                for job_id in removed
+                for job_id in removed_job_ids
             ),
             *(
                 KeyedRecord(
@@ -146,20 +148,20 @@
 
         :return: ids of the removed jobs.
         """
-        removed = [
+        removed_job_ids = [
             job_id
             for job_id in self._finished_job_ids
             if job_id not in self._state.unsaved_job_ids
-            and not self._has_runs(job_id)
+            and not self._has_active_runs(job_id)
         ]
-        for job_id in removed:
+        for job_id in removed_job_ids:
             self._finished_job_ids.discard(job_id)
             self._state.remove_job(job_id)
-        if removed:
-            self._delete_jobs(removed)
-        return removed
+        if removed_job_ids:
+            self._delete_jobs(removed_job_ids)
+        return removed_job_ids
 
-    def _has_runs(self, job_id: str) -> bool:
+    def _has_active_runs(self, job_id: str) -> bool:
         job = self._state.jobs_by_id.get(job_id)
         return job is not None and any(
             step.all_active_runs() for step in job.all_steps()
@@ -174,12 +176,12 @@
             job = self._state.jobs_by_id.get(job_id)
             if job is None:
                 continue
-            shown = PublishedJob(_job_state(job), job.spec.queue)
-            if self._state_table.get(job_id) != shown:
-                self._states_in_commit_by_id[job_id] = shown
+            current = PublishedJob(_job_state(job), job.spec.queue)
+            if self._state_table.get(job_id) != current:
+                self._states_in_commit_by_id[job_id] = current
         records = [
-            KeyedRecord(STATE_PREFIX + job_id, shown.encode())
-            for job_id, shown in self._states_in_commit_by_id.items()
+            KeyedRecord(STATE_PREFIX + job_id, current.encode())
+            for job_id, current in self._states_in_commit_by_id.items()
         ]
         if (
             not records
@@ -190,6 +192,7 @@
         return (*records, *self._expired_states(now_ms))
 
     def _expired_states(self, now_ms: int) -> list[KeyedRecord]:
+        """Remove old states of ended jobs; return records that delete them."""
         expired: list[KeyedRecord] = []
         for job_id, ended_ms in list(self._ended_ms_by_job.items()):
             if now_ms - ended_ms < self._timing.keep_states_ms:
--- a/src/magnoliapitch/control/timing.py
+++ b/src/magnoliapitch/control/timing.py
@@ -5,7 +5,8 @@
 from typing import NamedTuple
 
 
-# Rate of the slowest worker clock that is tolerated, relative to ours.
+# Rate of the slowest worker clock that is tolerated, relative to the clock of
+# this instance.
 MIN_CLOCK_RATE_RATIO = 0.98
 # Covers timers that fire late, and rounding to whole milliseconds.
 LEASE_EXPIRY_MARGIN_MS = 300
--- a/tests/control/simulated_effects.py
+++ b/tests/control/simulated_effects.py
@@ -121,7 +121,7 @@
             values = {
                 record.key: record.value or None for record in batch.progress
             }
-            simulation.replica.apply(values, list(values))  # type: ignore[arg-type]
+            simulation.job_table.apply(values, list(values))  # type: ignore[arg-type]
             simulation.controller.handle_commit(
                 Committed(Ok(0), sent_ms), simulation.now_ms
             )
@@ -135,7 +135,7 @@
             for job_id in job_ids
             for prefix in (JOB_PREFIX, CANCEL_PREFIX)
         ]
-        self._simulation.replica.apply({}, keys)
+        self._simulation.job_table.apply({}, keys)
 
     def request_permits(
         self, request: PlannedPermitRequest, timeout_ms: int
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -104,7 +104,7 @@
         self.workers = {
             info.worker_id: SimulatedWorker(info, self) for info in workers
         }
-        self.replica = JobTable()
+        self.job_table = JobTable()
         self.states = StateTable()
         self.specs: dict[str, JobSpec] = {}
         self._events: list[tuple[int, int, Callable[[], None]]] = []
@@ -137,7 +137,7 @@
             LeaderRecord(self._epoch, f"entry-{self._epoch}"),
             self.now_ms,
             TIMING,
-            self.replica,
+            self.job_table,
             self.states,
             SimulatedEffects(self, self._epoch),
             lambda: self.configuration,
@@ -178,12 +178,12 @@
         """Record the jobs that have ended since the last commit."""
         self.commit_count += 1
         for job_id, submitted_ms in self._submitted_ms.items():
-            shown = self.states.get(job_id)
-            if job_id in self.finished or shown is None:
+            published = self.states.get(job_id)
+            if job_id in self.finished or published is None:
                 continue
-            if shown.state in FINAL_STATES:
+            if published.state in FINAL_STATES:
                 after_ms = self.now_ms - submitted_ms
-                self.finished[job_id] = Finished(shown.state, after_ms)
+                self.finished[job_id] = Finished(published.state, after_ms)
 
     def begin_advisor_call(self) -> bool:
         """Begin an advisor call if the limit allows another."""
@@ -215,7 +215,7 @@
                 )
 
     def _store(self, key: str, value: bytes) -> None:
-        changed = self.replica.apply({key: value}, [key])
+        changed = self.job_table.apply({key: value}, [key])
         ids = frozenset(changed)
         self.schedule(
             COMMIT_DURATION_MS,
