--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -284,8 +284,8 @@
                 reason=failure.detail,
             )
             return
-        advice = step.job.queue.advice
-        valid_ms = advice.valid_ms if advice else 0
+        permit_timing = step.job.queue.permit_timing
+        valid_ms = permit_timing.valid_ms if permit_timing else 0
         log_event(
             "advice-received",
             job=event.request.step.job_id,
--- a/src/magnoliapitch/planner/planner.py
+++ b/src/magnoliapitch/planner/planner.py
@@ -253,7 +253,7 @@
         return fresh_count * 2 >= len(candidates)
 
     def _allowed_candidates(self, step: TrackedStep) -> list[Candidate]:
-        if step.job.queue.advice is None:
+        if step.job.queue.permit_timing is None:
             return list(self._workers.eligible(step))
         if not step.asked_worker_ids:
             self._ask_about_unasked(step)
@@ -261,7 +261,7 @@
         return self._workers.permitted(step)
 
     def _has_ticket(self, step: TrackedStep, candidate: Candidate) -> bool:
-        if step.job.queue.advice is None:
+        if step.job.queue.permit_timing is None:
             return True
         _, valid_until_ms = step.tickets_by_worker.get(
             candidate.worker.worker_id, NO_TICKET
@@ -300,7 +300,7 @@
     def _can_call_advisor(self, step: TrackedStep) -> bool:
         return (
             not step.has_call_in_flight
-            and step.job.queue.advice is not None
+            and step.job.queue.permit_timing is not None
             and len(self.permit_requests) < self._max_calls
         )
 
@@ -413,10 +413,10 @@
 
 
 def _expected_call_ms(step: TrackedStep, workers: int) -> float:
-    advice = step.job.queue.advice
-    if advice is None:
+    permit_timing = step.job.queue.permit_timing
+    if permit_timing is None:
         return 0.0
-    return advice.decision_ms + advice.per_worker_ms * workers
+    return permit_timing.decision_ms + permit_timing.per_worker_ms * workers
 
 
 def _planned_stop(run: TrackedRun) -> PlannedStop:
--- a/src/magnoliapitch/platform/advisor.py
+++ b/src/magnoliapitch/platform/advisor.py
@@ -1,4 +1,4 @@
-"""Client of the platform's advice service."""
+"""Client of the platform's advisor."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 class PlatformAdvisor:
-    """Asks the advice service which workers may run a step.
+    """Asks the advisor which workers may run a step.
 
-    :param address: ``IP:PORT`` of the service.
+    :param address: ``IP:PORT`` of the advisor.
     """
 
     def __init__(self, address: str, client: HttpClient) -> None:
@@ -53,7 +53,7 @@
 
 
 def _decode_permits(reply: HttpReply) -> Result[tuple[Permit, ...], Failure]:
-    detail = f"the advice service answered with status {reply.status}"
+    detail = f"the advisor answered with status {reply.status}"
     if reply.status == 429:
         return Err(not_run(FailureCode.OVERLOADED, detail))
     if reply.status != 200:
--- a/src/magnoliapitch/platform/configuration.py
+++ b/src/magnoliapitch/platform/configuration.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from magnoliapitch.resource import Resources
-from magnoliapitch.workload.configuration import AdvicePolicy
 from magnoliapitch.workload.configuration import Configuration
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.configuration import Queue
 from magnoliapitch.workload.configuration import RequestLimits
 from magnoliapitch.workload.configuration import Service
@@ -58,14 +58,14 @@
         float(route.get("stretch") or 1.0),
         float(route.get("target-duration-ms") or 0.0),
         int(route.get("timeout-ms") or 3_000),
-        _decode_advice(route.get("advice")),
+        _decode_permit_timing(route.get("advice")),
     )
 
 
-def _decode_advice(advice: Any) -> AdvicePolicy | None:
+def _decode_permit_timing(advice: Any) -> PermitTiming | None:
     if not advice:
         return None
-    return AdvicePolicy(
+    return PermitTiming(
         float(advice.get("decision-ms") or 0.0),
         float(advice.get("per-worker-ms") or 0.0),
         int(advice["valid-ms"]),
--- a/src/magnoliapitch/workload/__init__.py
+++ b/src/magnoliapitch/workload/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from magnoliapitch.workload.configuration import AdvicePolicy
 from magnoliapitch.workload.configuration import Configuration
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.configuration import Queue
 from magnoliapitch.workload.configuration import RequestLimits
 from magnoliapitch.workload.configuration import Service
@@ -26,7 +26,6 @@
 
 
 __all__ = [
-    "AdvicePolicy",
     "Configuration",
     "EndKind",
     "EndedRun",
@@ -34,6 +33,7 @@
     "JobProgress",
     "JobSpec",
     "Permit",
+    "PermitTiming",
     "Placement",
     "Queue",
     "RequestLimits",
--- a/src/magnoliapitch/workload/configuration.py
+++ b/src/magnoliapitch/workload/configuration.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 
-class AdvicePolicy(NamedTuple):
-    """Duration of advisor calls for a queue and validity of permits.
+class PermitTiming(NamedTuple):
+    """Expected duration of a queue's advisor calls and validity of permits.
 
     :param decision_ms: fixed part of the duration of an advisor call.
     :param per_worker_ms: additional duration for each worker in the call.
@@ -26,14 +26,14 @@
     :param path_prefix: start of the paths that select the queue.
     :param service: name of the service whose workers run the tasks.
     :param priority: 0 is the most urgent and may preempt higher numbers.
-    :param attempts: number of failed runs of a task with which its job fails.
-    :param stretch: factor of a job's objective, the time within which it
-        should complete: its critical path times ``stretch``, plus
-        ``target_ms``.
+    :param attempts: number of failed runs of a task after which its job fails.
+    :param stretch: factor in a job's objective, which is the time within
+        which the job should complete: the duration of its critical path
+        times ``stretch``, plus ``target_ms``.
     :param target_ms: fixed part of that objective, in milliseconds.
     :param timeout_ms: longest time to answer a caller.
-    :param advice: cost of the permits that the steps of the queue need;
-        None if they need none.
+    :param permit_timing: times of the permits that the steps of the queue
+        need; None if they need none.
     """
 
     name: str
@@ -45,7 +45,7 @@
     stretch: float = 1.0
     target_ms: float = 0.0
     timeout_ms: int = 3_000
-    advice: AdvicePolicy | None = None
+    permit_timing: PermitTiming | None = None
 
 
 class Service(NamedTuple):
--- a/tests/control/load.py
+++ b/tests/control/load.py
@@ -8,7 +8,7 @@
 
 from magnoliapitch.ledger.state_table import JobState
 from magnoliapitch.resource import Resources
-from magnoliapitch.workload.configuration import AdvicePolicy
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.job import JobSpec
 from magnoliapitch.workload.job import StepSpec
 from magnoliapitch.workload.job import TaskKey
@@ -41,7 +41,7 @@
     stretch: float
     target_ms: float
     gang_share: float
-    advice: AdvicePolicy
+    permit_timing: PermitTiming
     permitted_share: float = 0.5
 
 
@@ -57,7 +57,7 @@
         2.2,
         1_000,
         1.0,
-        AdvicePolicy(390, 5.5, 2_500),
+        PermitTiming(390, 5.5, 2_500),
     ),
     JobKind(
         "batch",
@@ -70,7 +70,7 @@
         4.0,
         3_000,
         0.0,
-        AdvicePolicy(62, 0.9, 2_500),
+        PermitTiming(62, 0.9, 2_500),
     ),
     JobKind(
         "urgent",
@@ -83,7 +83,7 @@
         1.5,
         250,
         0.3,
-        AdvicePolicy(5.6, 0.08, 2_500),
+        PermitTiming(5.6, 0.08, 2_500),
     ),
 )
 
@@ -100,7 +100,7 @@
         2.2,
         1_000,
         1.0,
-        AdvicePolicy(559, 8.06, 2_500),
+        PermitTiming(559, 8.06, 2_500),
         0.35,
     ),
     JobKind(
@@ -114,7 +114,7 @@
         4.0,
         3_000,
         0.0,
-        AdvicePolicy(156, 2.34, 2_500),
+        PermitTiming(156, 2.34, 2_500),
         0.45,
     ),
     JobKind(
@@ -128,7 +128,7 @@
         1.5,
         300,
         0.3,
-        AdvicePolicy(9.36, 0.13, 2_500),
+        PermitTiming(9.36, 0.13, 2_500),
         0.7,
     ),
 )
@@ -159,7 +159,7 @@
         self.rate_factor_by_kind: dict[str, float] = {}
         self.simulation = Simulation(
             [
-                queue(kind.name, kind.priority, kind.advice)._replace(
+                queue(kind.name, kind.priority, kind.permit_timing)._replace(
                     stretch=kind.stretch, target_ms=kind.target_ms
                 )
                 for kind in kinds
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -26,8 +26,8 @@
 from magnoliapitch.ledger.state_table import StateTable
 from magnoliapitch.metric import Metrics
 from magnoliapitch.resource import Resources
-from magnoliapitch.workload.configuration import AdvicePolicy
 from magnoliapitch.workload.configuration import Configuration
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.configuration import Queue
 from magnoliapitch.workload.configuration import Service
 from magnoliapitch.workload.run import EndKind
@@ -150,8 +150,10 @@
     def valid_ms(self, step: StepKey) -> int:
         """Return how long a permit for a step is valid."""
         spec = self.specs[step.job_id]
-        advice = self.configuration.queues_by_name[spec.queue].advice
-        return advice.valid_ms if advice else 0
+        permit_timing = self.configuration.queues_by_name[
+            spec.queue
+        ].permit_timing
+        return permit_timing.valid_ms if permit_timing else 0
 
     def permitted_share_of(self, step: StepKey) -> float:
         """Return the share of the workers that the advisor permits."""
@@ -258,7 +260,7 @@
 
 
 def queue(
-    name: str, priority: int = 0, advice: AdvicePolicy | None = None
+    name: str, priority: int = 0, permit_timing: PermitTiming | None = None
 ) -> Queue:
     """Return a queue of the simulation's service."""
     return Queue(
@@ -271,7 +273,7 @@
         2.0,
         500.0,
         3_000,
-        advice,
+        permit_timing,
     )
 
 
--- a/tests/control/test_controller.py
+++ b/tests/control/test_controller.py
@@ -12,7 +12,7 @@
 from magnoliapitch.resource import Resources
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
-from magnoliapitch.workload.configuration import AdvicePolicy
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.job import JobSpec
 from magnoliapitch.workload.job import StepSpec
 from magnoliapitch.workload.job import TaskKey
@@ -143,8 +143,10 @@
 
 
 def test_permits_that_expired_during_a_store_outage_are_not_used() -> None:
-    advice = AdvicePolicy(20, 1, valid_ms=1_000)
-    simulation = Simulation([queue("q", advice=advice)], workers(6))
+    permit_timing = PermitTiming(20, 1, valid_ms=1_000)
+    simulation = Simulation(
+        [queue("q", permit_timing=permit_timing)], workers(6)
+    )
     simulation.run(500)
     simulation.submit(job("a", StepSpec(4, SIZE)))
     simulation.schedule(
--- a/tests/planner/test_load_patterns.py
+++ b/tests/planner/test_load_patterns.py
@@ -11,7 +11,7 @@
 
 from magnoliapitch.ledger.state_table import JobState
 from magnoliapitch.resource import Resources
-from magnoliapitch.workload.configuration import AdvicePolicy
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.job import JobSpec
 from magnoliapitch.workload.job import StepSpec
 from magnoliapitch.workload.job import TaskKey
@@ -31,7 +31,9 @@
 # Time before the start that the objective of a gang, 2.2 times its duration,
 # leaves.
 MAX_GANG_START_MS = 7_400
-SLOW_ADVICE = AdvicePolicy(decision_ms=900, per_worker_ms=5.5, valid_ms=2_500)
+SLOW_PERMIT_TIMING = PermitTiming(
+    decision_ms=900, per_worker_ms=5.5, valid_ms=2_500
+)
 
 
 def test_a_burst_of_urgent_jobs_on_a_busy_pool() -> None:
@@ -70,7 +72,9 @@
 
 
 def test_a_large_gang_starts_with_slow_and_short_lived_permits() -> None:
-    simulation = Simulation([queue("q", advice=SLOW_ADVICE)], workers(176))
+    simulation = Simulation(
+        [queue("q", permit_timing=SLOW_PERMIT_TIMING)], workers(176)
+    )
     simulation.permitted_share = 0.35
     gang = StepSpec(30, Resources(9_000, 26_000), is_gang=True)
     for number in range(4):
@@ -82,8 +86,8 @@
 
 def test_a_large_gang_starts_ahead_of_a_backlog_of_small_tasks() -> None:
     """Small tasks compete for all free capacity; the gang needs 144 cores."""
-    batches = queue("batches", 2, AdvicePolicy(20, 0.3, 2_500))
-    plans = queue("plans", 1, AdvicePolicy(560, 8, 2_500))
+    batches = queue("batches", 2, PermitTiming(20, 0.3, 2_500))
+    plans = queue("plans", 1, PermitTiming(560, 8, 2_500))
     simulation = Simulation(
         [batches, plans], workers(48), advisor_call_limit=12
     )
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -3,7 +3,7 @@
 from magnoliapitch.planner import Planner
 from magnoliapitch.planner import SchedulerState
 from magnoliapitch.resource import Resources
-from magnoliapitch.workload.configuration import AdvicePolicy
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.configuration import Queue
 from magnoliapitch.workload.job import JobSpec
 from magnoliapitch.workload.job import StepKey
@@ -12,7 +12,7 @@
 from magnoliapitch.workload.worker import WorkerInfo
 
 
-ADVICE = AdvicePolicy(decision_ms=5, per_worker_ms=1, valid_ms=2_500)
+PERMIT_TIMING = PermitTiming(decision_ms=5, per_worker_ms=1, valid_ms=2_500)
 SIZE = Resources(2_000, 4_000)
 STEP = StepKey("a", 0, 0)
 
@@ -31,16 +31,18 @@
     state: SchedulerState,
     *steps: StepSpec,
     name: str = "a",
-    advice: AdvicePolicy | None = None,
+    permit_timing: PermitTiming | None = None,
     priority: int = 0,
 ) -> None:
-    queue = Queue("q", "h", "/", "app", priority, 3, 2.0, 500, 3_000, advice)
+    queue = Queue(
+        "q", "h", "/", "app", priority, 3, 2.0, 500, 3_000, permit_timing
+    )
     state.add_job(JobSpec(name, "q", "", steps), queue, 0)
 
 
 def test_a_refused_ticket_is_requested_again() -> None:
     state = make_state()
-    add_job(state, StepSpec(1, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(1, SIZE), permit_timing=PERMIT_TIMING)
     planner = Planner()
     request = planner.plan(state, 0, 0).permit_requests[0]
     state.record_permits(STEP, request.worker_ids, [Permit("w1", "t")], 2_500)
@@ -56,7 +58,7 @@
 
 def test_a_valid_ticket_for_another_worker_saves_a_call() -> None:
     state = make_state()
-    add_job(state, StepSpec(1, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(1, SIZE), permit_timing=PERMIT_TIMING)
     names = list(state.workers_by_id)
     permits = [Permit(name, "t") for name in names]
     state.record_permits(STEP, names, permits, 2_500)
@@ -70,7 +72,7 @@
 
 def test_a_ticket_that_expires_soon_is_not_used() -> None:
     state = make_state()
-    add_job(state, StepSpec(2, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(2, SIZE), permit_timing=PERMIT_TIMING)
     permits = [Permit(name, "t") for name in state.workers_by_id]
     state.record_permits(STEP, state.workers_by_id, permits, 2_500)
     plan = Planner().plan(state, 2_400, 2_400)
@@ -80,7 +82,7 @@
 
 def test_only_permitted_workers_run_a_step() -> None:
     state = make_state()
-    add_job(state, StepSpec(3, SIZE), advice=ADVICE)
+    add_job(state, StepSpec(3, SIZE), permit_timing=PERMIT_TIMING)
     names = list(state.workers_by_id)
     state.record_permits(STEP, names, [Permit("w2", "t")], 2_500)
     plan = Planner().plan(state, 0, 0)
@@ -145,7 +147,7 @@
 def test_a_gang_requests_all_its_tickets_in_one_call() -> None:
     state = make_state(6)
     big = Resources(5_000, 4_000)
-    add_job(state, StepSpec(4, big, is_gang=True), advice=ADVICE)
+    add_job(state, StepSpec(4, big, is_gang=True), permit_timing=PERMIT_TIMING)
     names = list(state.workers_by_id)
     state.record_permits(STEP, names, [Permit(n, "t") for n in names], 2_500)
     step = state.step(STEP)
@@ -160,7 +162,12 @@
 def test_a_gang_keeps_the_workers_of_its_advisor_call() -> None:
     state = make_state(4)
     big = Resources(5_000, 4_000)
-    add_job(state, StepSpec(2, big, is_gang=True), name="a", advice=ADVICE)
+    add_job(
+        state,
+        StepSpec(2, big, is_gang=True),
+        name="a",
+        permit_timing=PERMIT_TIMING,
+    )
     add_job(state, StepSpec(4, big), name="b", priority=1)
     names = list(state.workers_by_id)
     state.record_permits(STEP, names, [Permit(n, "t") for n in names], 100)
--- a/tests/platform/platform_standin.py
+++ b/tests/platform/platform_standin.py
@@ -1,7 +1,7 @@
 """Stand-ins for the services of the users' platform.
 
 They serve its published HTTP protocol on loopback: the store, workers
-(runners) and the advice service, with faults that a test can switch on.
+(runners) and the advisor, with faults that a test can switch on.
 """
 
 from __future__ import annotations
@@ -265,8 +265,8 @@
         return json_reply({"clock-ms": clock_ms, **fields}, status)
 
 
-class StandinAdvice(_HttpServer):
-    """Advice service that permits every worker."""
+class StandinAdvisor(_HttpServer):
+    """Advisor that permits every worker."""
 
     def handle(
         self, path: str, query: dict[str, str], body: bytes, headers: Any
--- a/tests/process/test_job_node.py
+++ b/tests/process/test_job_node.py
@@ -15,7 +15,7 @@
 from magnoliapitch.settings.cluster import EndpointSettings
 from magnoliapitch.settings.cluster import ListenSettings
 from tests.platform.platform_standin import LOOPBACK
-from tests.platform.platform_standin import StandinAdvice
+from tests.platform.platform_standin import StandinAdvisor
 from tests.platform.platform_standin import StandinRunner
 from tests.platform.platform_standin import StandinStore
 
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.store = StandinStore()
-        self.advice = StandinAdvice()
+        self.advisor = StandinAdvisor()
         self.runners = [StandinRunner(f"i-{number}") for number in range(2)]
         self.http = urllib3.PoolManager(retries=False)
         for runner in self.runners:
@@ -92,14 +92,14 @@
     def close(self) -> None:
         for node in self.nodes:
             node.stop()
-        for server in (self.store, self.advice, *self.runners):
+        for server in (self.store, self.advisor, *self.runners):
             server.close()
 
     def _make_node(self, number: int) -> JobNode:
         settings = ClusterSettings(
             f"entry-{number}",
             "z",
-            EndpointSettings(self.store.address, self.advice.address),
+            EndpointSettings(self.store.address, self.advisor.address),
             ListenSettings(
                 self.addresses[number],
                 f"{LOOPBACK}:{_free_port()}",
