--- a/src/magnoliapitch/control/controller.py
+++ b/src/magnoliapitch/control/controller.py
@@ -201,7 +201,7 @@
         self._last_end_sequence_by_worker[worker_id] = (
             applied.last_end_sequence
         )
-        for order in applied.unexpected:
+        for order in applied.stop_orders:
             info = self._info_by_worker.get(worker_id)
             if info is not None:
                 token = self._leader.epoch
--- a/src/magnoliapitch/control/reports.py
+++ b/src/magnoliapitch/control/reports.py
@@ -29,12 +29,12 @@
 
     :param last_end_sequence: sequence number of the last ended run that was
         applied.
-    :param unexpected: stop orders for runs that are not known; the caller
-        sets the token.
+    :param stop_orders: stop orders for reported runs that are not known; the
+        caller sets the token.
     """
 
     last_end_sequence: int
-    unexpected: tuple[StopOrder, ...]
+    stop_orders: tuple[StopOrder, ...]
 
 
 class ReportApplier:
@@ -137,7 +137,7 @@
                     job=run.task.key.job_id,
                     step=run.task.key.step,
                     task=run.task.key.position,
-                    run=run.run,
+                    run=run.number,
                     worker=worker_id,
                 )
                 self._state.lose_run(run)
--- a/src/magnoliapitch/ledger/job_api.py
+++ b/src/magnoliapitch/ledger/job_api.py
@@ -40,7 +40,8 @@
 # Pauses before an unknown job is looked up again, since the leader publishes
 # the state of a new job only shortly after the job was stored.
 STATE_RETRY_DELAYS_MS = (150, 300)
-# Latest accepted jobs that are known here before the leader publishes them.
+# Jobs accepted by this instance that it remembers, the latest ones. They are
+# known here before the leader publishes their states.
 MAX_REMEMBERED_JOBS = 20_000
 
 
--- a/src/magnoliapitch/ledger/job_follower.py
+++ b/src/magnoliapitch/ledger/job_follower.py
@@ -1,4 +1,4 @@
-"""The leader's view of the stored jobs that have not been deleted."""
+"""Reader that keeps the leader's table of stored jobs up to date."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/planner/planner.py
+++ b/src/magnoliapitch/planner/planner.py
@@ -72,7 +72,7 @@
 
         A step that failed on one worker and is done on another counts as a
         failure of the first worker. A step that fails on every worker is
-        put down to its job.
+        attributed to its job.
 
         :return: how long workers are avoided from now on, in ms by id.
         """
@@ -84,7 +84,11 @@
         }
         step.failed_worker_ids.clear()
         self._add_duration_sample(run, now_ms)
-        return {name: ms for name, ms in pause_ms_by_worker.items() if ms}
+        return {
+            avoided_worker_id: pause_ms
+            for avoided_worker_id, pause_ms in pause_ms_by_worker.items()
+            if pause_ms
+        }
 
     def _add_duration_sample(self, run: TrackedRun, now_ms: int) -> None:
         if run.started_ms is not None and not run.resumed_percent:
@@ -309,10 +313,10 @@
     ) -> None:
         if not candidates or not self._can_call_advisor(step):
             return
-        names = dict.fromkeys(
+        worker_ids = dict.fromkeys(
             candidate.worker.worker_id for candidate in candidates
         )
-        asked = tuple(names)[:MAX_WORKERS_PER_CALL]
+        asked = tuple(worker_ids)[:MAX_WORKERS_PER_CALL]
         expected_call_ms = _expected_call_ms(step, len(asked))
         self.permit_requests.append(
             PlannedPermitRequest(
@@ -412,15 +416,17 @@
     )
 
 
-def _expected_call_ms(step: TrackedStep, workers: int) -> float:
+def _expected_call_ms(step: TrackedStep, worker_count: int) -> float:
     permit_timing = step.job.queue.permit_timing
     if permit_timing is None:
         return 0.0
-    return permit_timing.decision_ms + permit_timing.per_worker_ms * workers
+    return (
+        permit_timing.decision_ms + permit_timing.per_worker_ms * worker_count
+    )
 
 
 def _planned_stop(run: TrackedRun) -> PlannedStop:
     outcome = run.task.step.job.outcome
     is_open = outcome is JobOutcome.OPEN
     reason = "superseded" if is_open else f"job-{outcome}"
-    return PlannedStop(run.task.key, run.run, run.worker_id, reason)
+    return PlannedStop(run.task.key, run.number, run.worker_id, reason)
--- a/src/magnoliapitch/planner/scheduler_state.py
+++ b/src/magnoliapitch/planner/scheduler_state.py
@@ -23,9 +23,9 @@
     from magnoliapitch.workload.job import JobSpec
     from magnoliapitch.workload.job import StepKey
     from magnoliapitch.workload.job import TaskKey
+    from magnoliapitch.workload.run import ActiveRun
     from magnoliapitch.workload.run import EndedRun
     from magnoliapitch.workload.run import Permit
-    from magnoliapitch.workload.run import RunningTask
     from magnoliapitch.workload.worker import WorkerInfo
 
 
@@ -153,7 +153,7 @@
         """Return a run that may be active, or None."""
         task = self.task(key)
         for run in task.active_runs if task else ():
-            if run.run == number and run.worker_id == worker_id:
+            if run.number == number and run.worker_id == worker_id:
                 return run
         return None
 
@@ -189,19 +189,19 @@
             self.unsaved_job_ids.add(job.spec.job_id)
 
     def record_running(
-        self, run: TrackedRun, report: RunningTask, now_ms: int
+        self, run: TrackedRun, reported: ActiveRun, now_ms: int
     ) -> None:
-        """Update a run from its worker in a worker's report."""
+        """Update a run from its entry in a worker's report."""
         if run.started_ms is None:
-            run.resumed_percent = report.percent
+            run.resumed_percent = reported.percent
         self.confirm_run(run, now_ms)
-        if report.percent != run.percent:
-            run.percent = report.percent
+        if reported.percent != run.percent:
+            run.percent = reported.percent
             run.percent_ms = now_ms
-        run.load = report.load
+        run.load = reported.load
         task = run.task
-        if report.checkpoint and report.checkpoint != task.checkpoint:
-            self._save_checkpoint(task, report.checkpoint)
+        if reported.checkpoint and reported.checkpoint != task.checkpoint:
+            self._save_checkpoint(task, reported.checkpoint)
 
     def record_end(self, worker_id: str, end: EndedRun, now_ms: int) -> bool:
         """Record the end of a run; return whether it changed anything."""
@@ -269,7 +269,7 @@
                     task.is_done,
                     task.checkpoint,
                     tuple(
-                        Placement(run.run, run.worker_id)
+                        Placement(run.number, run.worker_id)
                         for run in task.active_runs
                     ),
                 )
@@ -331,11 +331,11 @@
         if task.step.is_done and task.step.job.outcome is JobOutcome.OPEN:
             self._open_steps(task.step.job, now_ms)
 
-    def _record_failed(self, task: TrackedTask, run: int) -> None:
+    def _record_failed(self, task: TrackedTask, number: int) -> None:
         # Failures of several gang members in one run count once.
-        if task.step.spec.is_gang and run in task.step.failed_run_numbers:
+        if task.step.spec.is_gang and number in task.step.failed_run_numbers:
             return
-        task.step.failed_run_numbers.add(run)
+        task.step.failed_run_numbers.add(number)
         task.failures += 1
         self.unsaved_job_ids.add(task.key.job_id)
 
--- a/src/magnoliapitch/planner/tracked.py
+++ b/src/magnoliapitch/planner/tracked.py
@@ -20,10 +20,11 @@
 class TrackedRun:
     """A run that was ordered and whose end is not known.
 
-    :ivar run: number of the run among the runs of its task.
+    :ivar number: number of the run among the runs of its task.
     :ivar resources: capacity that the run reserves on its worker.
-    :ivar confirmed_ms: when the worker accepted or reported the run; None
-        before.
+    :ivar started_ms: when the worker first accepted or reported the run;
+        None before.
+    :ivar confirmed_ms: when it last did so; None before.
     :ivar is_restored: whether the run was read from the progress that a
         former leader stored; that leader may have ordered it or not.
     :ivar is_stopping: whether the run is marked for stopping.
@@ -40,12 +41,12 @@
         "is_restored",
         "is_stopping",
         "load",
+        "number",
         "ordered_ms",
         "percent",
         "percent_ms",
         "resources",
         "resumed_percent",
-        "run",
         "started_ms",
         "stop_sent_ms",
         "stopped_ms",
@@ -54,10 +55,10 @@
     )
 
     def __init__(
-        self, task: TrackedTask, run: int, worker_id: str, now_ms: int
+        self, task: TrackedTask, number: int, worker_id: str, now_ms: int
     ) -> None:
         self.task = task
-        self.run = run
+        self.number = number
         self.worker_id = worker_id
         self.resources = task.step.reservation
         self.ordered_ms = now_ms
--- a/src/magnoliapitch/planner/worker_backoff.py
+++ b/src/magnoliapitch/planner/worker_backoff.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 
-# Consecutive failures before a worker is avoided: a single one is put down
-# to the task, a second one in a row to the worker.
+# Consecutive failures before a worker is avoided: the first may be due to the
+# task, a second one in a row is attributed to the worker.
 MIN_CONSECUTIVE_FAILURES = 2
 FIRST_BACKOFF_MS = 2_000
 MAX_BACKOFF_MS = 16_000
--- a/src/magnoliapitch/platform/framing.py
+++ b/src/magnoliapitch/platform/framing.py
@@ -1,4 +1,4 @@
-"""Binary encoding of the records of the platform's log.
+"""Binary encoding of the records in the platform's store.
 
 A record is its length (4 bytes), the length of its key (1 byte), the key and
 the value. Numbers are big-endian.
--- a/src/magnoliapitch/platform/job_application.py
+++ b/src/magnoliapitch/platform/job_application.py
@@ -168,7 +168,7 @@
         raise ValueError(
             f"a step has {task_count} tasks; at least 1 is required"
         )
-    may_miss = step.get("may-miss")
+    max_unavailable = step.get("may-miss")
     return StepSpec(
         task_count,
         decode_resources(step),
@@ -188,5 +188,5 @@
         int(step.get("target-ms") or 0),
         # ``fills`` marks tasks that use only capacity left over by others.
         bool(step.get("fills")),
-        None if may_miss is None else int(may_miss),
+        None if max_unavailable is None else int(max_unavailable),
     )
--- a/src/magnoliapitch/platform/workers.py
+++ b/src/magnoliapitch/platform/workers.py
@@ -17,9 +17,9 @@
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import may_have_run
 from magnoliapitch.verdict import not_run
+from magnoliapitch.workload.run import ActiveRun
 from magnoliapitch.workload.run import EndedRun
 from magnoliapitch.workload.run import EndKind
-from magnoliapitch.workload.run import RunningTask
 from magnoliapitch.workload.run import WorkerReport
 
 
@@ -42,7 +42,7 @@
     "room": FailureCode.NO_ROOM,
     "ticket": FailureCode.TICKET,
 }
-_END_KIND_BY_WORD = {
+_END_KIND_BY_NAME = {
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
@@ -204,9 +204,9 @@
         return Err(may_have_run(FailureCode.BAD_ANSWER, repr(error)))
 
 
-def _decode_running(row: list[Any]) -> RunningTask:
+def _decode_running(row: list[Any]) -> ActiveRun:
     task, run, checkpoint, percent, *load = row
-    return RunningTask(
+    return ActiveRun(
         decode_task(task),
         int(run),
         checkpoint or "",
@@ -216,11 +216,11 @@
 
 
 def _decode_ended(row: list[Any]) -> EndedRun:
-    number, task, run, how, checkpoint = row
+    sequence, task, run, kind, checkpoint = row
     return EndedRun(
-        int(number),
+        int(sequence),
         decode_task(task),
         int(run),
-        _END_KIND_BY_WORD[how],
+        _END_KIND_BY_NAME[kind],
         checkpoint or "",
     )
--- a/src/magnoliapitch/workload/__init__.py
+++ b/src/magnoliapitch/workload/__init__.py
@@ -15,10 +15,10 @@
 from magnoliapitch.workload.progress import JobProgress
 from magnoliapitch.workload.progress import Placement
 from magnoliapitch.workload.progress import TaskProgress
+from magnoliapitch.workload.run import ActiveRun
 from magnoliapitch.workload.run import EndedRun
 from magnoliapitch.workload.run import EndKind
 from magnoliapitch.workload.run import Permit
-from magnoliapitch.workload.run import RunningTask
 from magnoliapitch.workload.run import StartOrder
 from magnoliapitch.workload.run import StopOrder
 from magnoliapitch.workload.run import WorkerReport
@@ -26,6 +26,7 @@
 
 
 __all__ = [
+    "ActiveRun",
     "Configuration",
     "EndKind",
     "EndedRun",
@@ -37,7 +38,6 @@
     "Placement",
     "Queue",
     "RequestLimits",
-    "RunningTask",
     "Service",
     "StartOrder",
     "StepKey",
--- a/src/magnoliapitch/workload/run.py
+++ b/src/magnoliapitch/workload/run.py
@@ -12,7 +12,11 @@
 
 
 class EndKind(StrEnum):
-    """Way in which a run ended."""
+    """Way in which a run ended.
+
+    The last two apply to the run of a gang's member: another member has
+    ended, or other members are missing.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -22,7 +26,7 @@
     MEMBERS_MISSING = "members-missing"
 
 
-class RunningTask(NamedTuple):
+class ActiveRun(NamedTuple):
     """A run that a worker reports as active.
 
     :param run: number of the run.
@@ -92,7 +96,7 @@
     """
 
     clock_ms: int
-    running: tuple[RunningTask, ...]
+    running: tuple[ActiveRun, ...]
     ended: tuple[EndedRun, ...]
 
 
--- a/tests/control/simulated_worker.py
+++ b/tests/control/simulated_worker.py
@@ -13,9 +13,9 @@
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import not_run
+from magnoliapitch.workload.run import ActiveRun
 from magnoliapitch.workload.run import EndedRun
 from magnoliapitch.workload.run import EndKind
-from magnoliapitch.workload.run import RunningTask
 from magnoliapitch.workload.run import StartOrder
 from magnoliapitch.workload.run import StopOrder
 from magnoliapitch.workload.run import WorkerReport
@@ -70,7 +70,7 @@
         return WorkerReport(
             self._simulation.now_ms,
             tuple(
-                RunningTask(key, run.order.run, "", self._percent(run))
+                ActiveRun(key, run.order.run, "", self._percent(run))
                 for key, run in self.running.items()
             ),
             tuple(self.ended),
@@ -126,9 +126,11 @@
         for notify in list(self.end_listeners):
             notify()
         if run.step.is_gang:
-            other = kind if kind is EndKind.DONE else EndKind.MEMBER_ENDED
+            member_kind = (
+                kind if kind is EndKind.DONE else EndKind.MEMBER_ENDED
+            )
             for worker, member in self._members(run):
-                worker.end(member, other)
+                worker.end(member, member_kind)
 
     def used(self) -> Resources:
         """Return the resources that active runs use."""
--- a/tests/ledger/test_submitter.py
+++ b/tests/ledger/test_submitter.py
@@ -107,9 +107,9 @@
 def test_append_is_refused_at_once_while_the_store_is_down(
     caller: Caller, streams: MemoryStreams
 ) -> None:
-    away = not_run(FailureCode.UNAVAILABLE, "the store is down")
-    streams.outage = away
-    caller.health.note_failure(away)
+    outage = not_run(FailureCode.UNAVAILABLE, "the store is down")
+    streams.outage = outage
+    caller.health.note_failure(outage)
     caller.clock.skipped_ms = DOWN_AFTER_MS + 1
     failure = caller.submit("k").result(5).unwrap_err()
     assert failure.verdict is Verdict.NOT_RUN
--- a/tests/platform/platform_standin.py
+++ b/tests/platform/platform_standin.py
@@ -44,12 +44,12 @@
 class _HttpServer:
     """HTTP server on a free port that answers with ``handle``.
 
-    :ivar drop_answers: number of calls that are carried out but answered with
-        status 502 after a delay.
+    :ivar answers_to_lose: number of calls that are carried out but answered
+        with status 502 after a delay.
     """
 
     def __init__(self) -> None:
-        self.drop_answers = 0
+        self.answers_to_lose = 0
         self._server = wsgi.Server(
             (LOOPBACK, 0), self._serve, numthreads=THREAD_COUNT
         )
@@ -71,18 +71,18 @@
         raise NotImplementedError
 
     def _serve(
-        self, environ: dict[str, Any], start: Callable[..., Any]
+        self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> list[bytes]:
         length = int(environ.get("CONTENT_LENGTH") or 0)
         body = environ["wsgi.input"].read(length)
         query = dict(parse_qsl(environ.get("QUERY_STRING", "")))
         path = urlsplit(environ["PATH_INFO"]).path
         reply = self.handle(path, query, body, environ)
-        if self.drop_answers > 0:
-            self.drop_answers -= 1
+        if self.answers_to_lose > 0:
+            self.answers_to_lose -= 1
             time.sleep(1.0)
             reply = Reply(502)
-        start(
+        start_response(
             f"{reply.status} X",
             [("Content-Length", str(len(reply.body)))],
         )
