--- a/src/magnoliapitch/bench/request.py
+++ b/src/magnoliapitch/bench/request.py
@@ -28,9 +28,9 @@
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.resource import Resources
-from magnoliapitch.standin.cell import Cell
-from magnoliapitch.standin.cell import CellShape
-from magnoliapitch.standin.server import CellServer
+from magnoliapitch.standin.cluster import ClusterShape
+from magnoliapitch.standin.cluster import StandinCluster
+from magnoliapitch.standin.server import StandinServer
 
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
     "clubes-app",
     Limits(concurrent_requests=1_000, requests_per_second=1_000_000),
 )
-CELL_SHAPE = CellShape(
+CELL_SHAPE = ClusterShape(
     ("norte",),
     ENTRY.app,
     Resources(1_000, 1_000, 0),
@@ -159,8 +159,8 @@
 
 @contextmanager
 def _running_paths() -> Iterator[_RunningPaths]:
-    cell = Cell(CELL_SHAPE)
-    server = CellServer(
+    cell = StandinCluster(CELL_SHAPE)
+    server = StandinServer(
         cell.log, cell.instance_list, cell.workers, cell.backends
     )
     server.start()
@@ -186,7 +186,7 @@
     return CELL_SHAPE.zones[0], "no-servers-here"
 
 
-def _direct_call(cell: Cell) -> Callable[[], bool]:
+def _direct_call(cell: StandinCluster) -> Callable[[], bool]:
     client = HttpBackendClient()
     servers = [
         info
--- a/src/magnoliapitch/standin/worker.py
+++ b/src/magnoliapitch/standin/worker.py
@@ -1,4 +1,4 @@
-"""In-memory workers that run tasks under leases."""
+"""In-memory stand-ins for workers that run tasks under leases."""
 
 from __future__ import annotations
 
@@ -36,67 +36,79 @@
 
 
 class TaskStart(NamedTuple):
-    """History entry: a task started to run on a worker."""
+    """Record of a task that started to run on a worker."""
 
     at_ms: int
     worker_id: str
     lease_id: str
 
 
-class _Running(NamedTuple):
+class _LeaseRecord(NamedTuple):
     view: LeaseView
     ends_at_ms: int
 
     @property
-    def stops_at_ms(self) -> int:
-        """Time of the worker's clock at which it stops by itself."""
+    def task_ends_at_ms(self) -> int:
+        """Time of the worker's clock at which the task ends by itself."""
         return min(self.view.expires_at_ms, self.ends_at_ms)
 
     @property
     def is_running_task(self) -> bool:
-        """Whether it uses what it reserves."""
+        """Whether it is the lease of a task that still runs."""
         is_task = self.view.kind is LeaseKind.TASK
         return is_task and self.view.state is LeaseState.RUNNING
 
 
 class StandinWorker:
-    """One worker; its clock starts at a different origin than others'.
-
+    """One worker, whose monotonic clock has its own origin.
+
+    :param skew_ms: difference of its clock from the common clock, in
+        milliseconds.
+    :ivar down: whether calls to the worker fail; its tasks continue.
+    :ivar fails_all_tasks: whether tasks that end by themselves fail.
+    :ivar fences_epochs: whether it refuses grants below the highest epoch
+        that it has seen.
+    :ivar boot_count: number of boots so far.
     :ivar events: starts and ends of its tasks, in order.
     """
 
     def __init__(self, info: InstanceInfo, clock: Clock, skew_ms: int) -> None:
         self.info = info
         self.down = False
-        self.fails_everything = False
+        self.fails_all_tasks = False
         self.fences_epochs = False
-        self.boots = 1
+        self.boot_count = 1
         self.events: list[LeaseStarted | LeaseEnded] = []
         self._epoch = 0
         self._clock = clock
         self._skew_ms = skew_ms
-        self._running_by_lease: dict[str, _Running] = {}
+        self._records_by_lease: dict[str, _LeaseRecord] = {}
 
     @property
     def boot_id(self) -> str:
-        """Name of the current boot."""
-        return f"{self.info.instance_id}-{self.boots}"
+        """Id of the current boot."""
+        return f"{self.info.instance_id}-{self.boot_count}"
 
     def now_ms(self) -> int:
-        """Return the monotonic clock of the current boot."""
+        """Return the time of its monotonic clock, in milliseconds."""
         return self._clock.now_ms() + self._skew_ms
 
     def view(self) -> WorkerView:
-        """Return all unexpired leases."""
-        self._advance()
-        leases = tuple(item.view for item in self._running_by_lease.values())
+        """Return a view with all unexpired leases."""
+        self._advance_to_now()
+        leases = tuple(
+            record.view for record in self._records_by_lease.values()
+        )
         return WorkerView(
             self.info.instance_id, self.boot_id, self.now_ms(), leases
         )
 
     def start(self, grant: LeaseGrant, run_ms: int) -> bool:
-        """Start a task; return whether it is new."""
-        self._advance()
+        """Start a lease and return whether its grant was accepted.
+
+        :param run_ms: run time of the task, in milliseconds.
+        """
+        self._advance_to_now()
         if not self._accepts(grant):
             return False
         if self.fences_epochs:
@@ -112,7 +124,7 @@
             grant.resources,
         )
         ends_at_ms = self.now_ms() + run_ms
-        self._running_by_lease[grant.lease_id] = _Running(view, ends_at_ms)
+        self._records_by_lease[grant.lease_id] = _LeaseRecord(view, ends_at_ms)
         if grant.kind is LeaseKind.TASK:
             self.events.append(
                 LeaseStarted(
@@ -125,38 +137,42 @@
         return True
 
     def renew(self, lease_id: str, expires_at_ms: int) -> None:
-        """Extend a lease that has not expired."""
-        self._advance()
-        running = self._running_by_lease.get(lease_id)
-        if running is None or expires_at_ms <= running.view.expires_at_ms:
+        """Raise the expiry of a lease that has not expired.
+
+        :param expires_at_ms: time of the worker's clock; one that is not
+            later than the current expiry changes nothing.
+        """
+        self._advance_to_now()
+        record = self._records_by_lease.get(lease_id)
+        if record is None or expires_at_ms <= record.view.expires_at_ms:
             return
-        view = running.view._replace(expires_at_ms=expires_at_ms)
-        self._running_by_lease[lease_id] = running._replace(view=view)
+        view = record.view._replace(expires_at_ms=expires_at_ms)
+        self._records_by_lease[lease_id] = record._replace(view=view)
 
     def stop(self, lease_id: str) -> None:
-        """End a lease."""
-        self._advance()
-        item = self._running_by_lease.pop(lease_id, None)
-        if item is not None:
-            self._note_end(item, self.now_ms())
+        """End a lease and stop its task."""
+        self._advance_to_now()
+        record = self._records_by_lease.pop(lease_id, None)
+        if record is not None:
+            self._record_end(record, self.now_ms())
 
     def restart(self) -> None:
-        """Lose every lease, as after a crash."""
-        self._advance()
-        for item in self._running_by_lease.values():
-            self._note_end(item, self.now_ms())
-        self.boots += 1
+        """Restart: lose every lease and start the clock of a new boot at 0."""
+        self._advance_to_now()
+        for record in self._records_by_lease.values():
+            self._record_end(record, self.now_ms())
+        self.boot_count += 1
         self._skew_ms = -self._clock.now_ms()
         self._epoch = 0
-        self._running_by_lease.clear()
+        self._records_by_lease.clear()
 
-    def used(self) -> Resources:
-        """Return what running tasks reserve now."""
-        self._advance()
+    def reserved(self) -> Resources:
+        """Return the resources that running tasks reserve now."""
+        self._advance_to_now()
         total = NO_RESOURCES
-        for item in self._running_by_lease.values():
-            if item.view.state is LeaseState.RUNNING:
-                total = total.plus(item.view.resources)
+        for record in self._records_by_lease.values():
+            if record.view.state is LeaseState.RUNNING:
+                total = total.plus(record.view.resources)
         return total
 
     def _accepts(self, grant: LeaseGrant) -> bool:
@@ -164,41 +180,44 @@
             return False
         if grant.expires_at_ms <= self.now_ms():
             return False
-        return grant.lease_id not in self._running_by_lease
+        return grant.lease_id not in self._records_by_lease
 
-    def _note_end(self, item: _Running, at_ms: int) -> None:
-        if item.is_running_task:
+    def _record_end(self, record: _LeaseRecord, at_ms: int) -> None:
+        if record.is_running_task:
             self.events.append(
                 LeaseEnded(
                     at_ms - self._skew_ms,
                     self.info.instance_id,
-                    item.view.lease_id,
+                    record.view.lease_id,
                 )
             )
 
-    def _advance(self) -> None:
+    def _advance_to_now(self) -> None:
         now_ms = self.now_ms()
-        for lease_id, item in list(self._running_by_lease.items()):
-            if item.stops_at_ms <= now_ms:
-                self._note_end(item, item.stops_at_ms)
-            if item.view.expires_at_ms <= now_ms:
-                del self._running_by_lease[lease_id]
+        for lease_id, record in list(self._records_by_lease.items()):
+            if record.task_ends_at_ms <= now_ms:
+                self._record_end(record, record.task_ends_at_ms)
+            if record.view.expires_at_ms <= now_ms:
+                del self._records_by_lease[lease_id]
                 continue
-            if not item.is_running_task or item.ends_at_ms > now_ms:
+            if not record.is_running_task or record.ends_at_ms > now_ms:
                 continue
             state = (
                 LeaseState.FAILED
-                if self.fails_everything
+                if self.fails_all_tasks
                 else LeaseState.FINISHED
             )
-            view = item.view._replace(state=state, progress=1.0)
-            self._running_by_lease[lease_id] = item._replace(view=view)
+            view = record.view._replace(state=state, progress=1.0)
+            self._records_by_lease[lease_id] = record._replace(view=view)
 
 
 class StandinWorkers:
-    """A pool of in-memory workers.
+    """Worker pool of in-memory workers.
 
-    :ivar history: every task start, in order.
+    :param run_ms_of: returns the run time of a granted task, in
+        milliseconds; by default the payload names it.
+    :ivar by_id: workers by instance id.
+    :ivar history: starts of tasks on all workers, in order.
     """
 
     def __init__(
@@ -221,13 +240,13 @@
         self._lock = threading.Lock()
 
     def view(self, worker: InstanceInfo) -> Result[WorkerView, Failure]:
-        """Return the worker's running leases and usage."""
+        """Return the worker's unexpired leases and their usage."""
         return self._call(worker, lambda _target: None)
 
     def start(
         self, worker: InstanceInfo, grants: tuple[LeaseGrant, ...]
     ) -> Result[WorkerView, Failure]:
-        """Start tasks; each id at most once."""
+        """Start leases; each lease id starts at most once."""
 
         def apply(target: StandinWorker) -> None:
             for grant in grants:
@@ -249,7 +268,10 @@
         lease_ids: tuple[str, ...],
         expires_at_ms: int,
     ) -> Result[WorkerView, Failure]:
-        """Set the expiry of leases on the worker's clock."""
+        """Raise the expiry of unexpired leases.
+
+        :param expires_at_ms: time of the worker's clock, in milliseconds.
+        """
 
         def apply(target: StandinWorker) -> None:
             for lease_id in lease_ids:
@@ -280,7 +302,10 @@
         lease_id: str,  # noqa: ARG002
         cpu_millis: int,  # noqa: ARG002
     ) -> Result[WorkerView, Failure]:
-        """Bound the processor time of a task."""
+        """Limit the processor share of a task.
+
+        :param cpu_millis: limit, in thousandths of a processor.
+        """
         return self._call(worker, lambda _target: None)
 
     def _call(
@@ -300,7 +325,7 @@
 
 
 def _default_run_ms(grant: LeaseGrant) -> int:
-    """Take the run time from the payload ``run_ms=N``, if it names one."""
+    """Return the run time in a payload ``run_ms=N``, else the default."""
     key, _, value = grant.payload.partition("=")
     if key == "run_ms" and value.isdigit():
         return int(value)
--- a/tests/history/fault.py
+++ b/tests/history/fault.py
@@ -91,10 +91,10 @@
 
 
 def cut_peers(simulation: Simulation, pairs: set[tuple[str, str]]) -> Undo:
-    simulation.network.cuts |= pairs
+    simulation.network.blocked_links |= pairs
 
     def undo() -> None:
-        simulation.network.cuts -= pairs
+        simulation.network.blocked_links -= pairs
 
     return undo
 
@@ -159,10 +159,10 @@
 @fault
 def worker_fails_all(simulation: Simulation) -> Undo:
     worker = simulation.cell.workers.by_id[choose_worker(simulation)]
-    worker.fails_everything = True
+    worker.fails_all_tasks = True
 
     def undo() -> None:
-        worker.fails_everything = False
+        worker.fails_all_tasks = False
 
     return undo
 
--- a/tests/history/simulation.py
+++ b/tests/history/simulation.py
@@ -32,8 +32,8 @@
 from magnoliapitch.resource import Resources
 from magnoliapitch.settings.model import PlatformSettings
 from magnoliapitch.settings.model import Settings
-from magnoliapitch.standin.cell import Cell
-from magnoliapitch.standin.cell import CellShape
+from magnoliapitch.standin.cluster import ClusterShape
+from magnoliapitch.standin.cluster import StandinCluster
 from magnoliapitch.standin.peer import StandinNetwork
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -201,10 +201,10 @@
     def __init__(self, rng: np.random.Generator) -> None:
         self.rng = rng
         self.clock = ManualClock(1_000)
-        shape = CellShape(
+        shape = ClusterShape(
             ZONES, "app", CAPACITY, WORKERS_PER_ZONE, backends_per_zone=1
         )
-        self.cell = Cell(shape, self.clock)
+        self.cell = StandinCluster(shape, self.clock)
         self.network = StandinNetwork()
         self.instances_by_id: dict[str, SimulatedInstance] = {}
         self.paused: set[str] = set()
@@ -288,12 +288,12 @@
         } - addresses
         pairs = {(a, b) for a in addresses for b in other_addresses}
         pairs |= {(b, a) for a, b in pairs}
-        self.network.cuts |= pairs
+        self.network.blocked_links |= pairs
         for instance in inside:
             instance.environment.is_log_unreachable = True
 
         def heal() -> None:
-            self.network.cuts -= pairs
+            self.network.blocked_links -= pairs
             for instance in inside:
                 instance.environment.is_log_unreachable = False
 
@@ -352,7 +352,7 @@
     def history(self) -> list[Event]:
         events = [*self.events, *self._events_from_log()]
         for worker in self.cell.workers.by_id.values():
-            worker.used()
+            worker.reserved()
             events += worker.events
         return events
 
