--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -26,8 +26,8 @@
 from magnoliapitch.ledger.state_table import StateTable
 from magnoliapitch.metric import Metrics
 from magnoliapitch.resource import Resources
-from magnoliapitch.workload.configuration import AdvicePolicy
 from magnoliapitch.workload.configuration import Configuration
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.configuration import Queue
 from magnoliapitch.workload.configuration import Service
 from magnoliapitch.workload.run import EndKind
@@ -104,7 +104,7 @@
         self.workers = {
             info.worker_id: SimulatedWorker(info, self) for info in workers
         }
-        self.replica = JobTable()
+        self.job_table = JobTable()
         self.states = StateTable()
         self.specs: dict[str, JobSpec] = {}
         self._events: list[tuple[int, int, Callable[[], None]]] = []
@@ -137,7 +137,7 @@
             LeaderRecord(self._epoch, f"entry-{self._epoch}"),
             self.now_ms,
             TIMING,
-            self.replica,
+            self.job_table,
             self.states,
             SimulatedEffects(self, self._epoch),
             lambda: self.configuration,
@@ -150,8 +150,10 @@
     def valid_ms(self, step: StepKey) -> int:
         """Return how long a permit for a step is valid."""
         spec = self.specs[step.job_id]
-        advice = self.configuration.queues_by_name[spec.queue].advice
-        return advice.valid_ms if advice else 0
+        permit_timing = self.configuration.queues_by_name[
+            spec.queue
+        ].permit_timing
+        return permit_timing.valid_ms if permit_timing else 0
 
     def permitted_share_of(self, step: StepKey) -> float:
         """Return the share of the workers that the advisor permits."""
@@ -178,12 +180,12 @@
         """Record the jobs that have ended since the last commit."""
         self.commit_count += 1
         for job_id, submitted_ms in self._submitted_ms.items():
-            shown = self.states.get(job_id)
-            if job_id in self.finished or shown is None:
+            published = self.states.get(job_id)
+            if job_id in self.finished or published is None:
                 continue
-            if shown.state in FINAL_STATES:
+            if published.state in FINAL_STATES:
                 after_ms = self.now_ms - submitted_ms
-                self.finished[job_id] = Finished(shown.state, after_ms)
+                self.finished[job_id] = Finished(published.state, after_ms)
 
     def begin_advisor_call(self) -> bool:
         """Begin an advisor call if the limit allows another."""
@@ -215,7 +217,7 @@
                 )
 
     def _store(self, key: str, value: bytes) -> None:
-        changed = self.replica.apply({key: value}, [key])
+        changed = self.job_table.apply({key: value}, [key])
         ids = frozenset(changed)
         self.schedule(
             COMMIT_DURATION_MS,
@@ -258,7 +260,7 @@
 
 
 def queue(
-    name: str, priority: int = 0, advice: AdvicePolicy | None = None
+    name: str, priority: int = 0, permit_timing: PermitTiming | None = None
 ) -> Queue:
     """Return a queue of the simulation's service."""
     return Queue(
@@ -271,7 +273,7 @@
         2.0,
         500.0,
         3_000,
-        advice,
+        permit_timing,
     )
 
 
