--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -7,7 +7,7 @@
 
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.decision.synchronized import SynchronizedScheduler
-from magnoliapitch.entry.job_desk import JobDesk
+from magnoliapitch.entry.job_service import JobDesk
 from magnoliapitch.event import log_event
 from magnoliapitch.job.manager import JobManager
 from magnoliapitch.journal.journal import Journal
