--- a/src/magnoliapitch/api/caller.py
+++ b/src/magnoliapitch/api/caller.py
@@ -30,9 +30,9 @@
 
 
 COMMIT_TIMEOUT_MS = 5_000
-FRESH_TIMEOUT_MS = 2_000
+LOG_READ_TIMEOUT_MS = 2_000
 
-_JOB = TypeAdapter(JobSpec)
+_JOB_SPEC_ADAPTER = TypeAdapter(JobSpec)
 
 
 def caller_application(core: EntryCore) -> Application:
@@ -55,7 +55,9 @@
             request.headers_by_name.get("ticket", ""),
             request.headers_by_name.get("idempotency-key", "").strip('"'),
         )
-        with core.metrics.timing("request", core.class_of(forwarded.entry)):
+        with core.metrics.timing(
+            "request", core.work_class_of(forwarded.entry)
+        ):
             outcome = core.router.execute(forwarded)
         core.metrics.count("requests", _outcome_label(outcome))
         if isinstance(outcome, Err):
@@ -80,12 +82,12 @@
         if refusal is not None:
             return problem_response(refusal, request.request_id)
         try:
-            job = _JOB.validate_python(request.json())
+            job = _JOB_SPEC_ADAPTER.validate_python(request.json())
         except (ValidationError, ValueError) as error:
             return problem_response(
                 not_run(FailureCode.INVALID, str(error)), request.request_id
             )
-        outcome = core.desk.submit(job, COMMIT_TIMEOUT_MS)
+        outcome = core.job_service.submit(job, COMMIT_TIMEOUT_MS)
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value, request.request_id)
         return json_response({"job_id": job.job_id}, 202)
@@ -100,12 +102,12 @@
         found = core.job_status(job_id)
         if found is not None:
             return json_response(found)
-        if not core.journal.wait_fresh(FRESH_TIMEOUT_MS):
+        if not core.journal.wait_fresh(LOG_READ_TIMEOUT_MS):
             return problem_response(
                 not_run(
                     FailureCode.UNAVAILABLE,
                     f"job {job_id} is unknown here and the log is away",
-                    FRESH_TIMEOUT_MS,
+                    LOG_READ_TIMEOUT_MS,
                 ),
                 request.request_id,
             )
@@ -120,7 +122,7 @@
     @application.route("DELETE", "/v1/jobs/{job}")
     def cancel(request: HttpRequest) -> HttpResponse:
         job_id = request.path_values["job"]
-        outcome = core.desk.cancel(job_id, COMMIT_TIMEOUT_MS)
+        outcome = core.job_service.cancel(job_id, COMMIT_TIMEOUT_MS)
         if isinstance(outcome, Err):
             return problem_response(outcome.err_value, request.request_id)
         return json_response({"job_id": job_id, "cancelled": True})
--- a/src/magnoliapitch/api/catalogue.py
+++ b/src/magnoliapitch/api/catalogue.py
@@ -49,27 +49,27 @@
     def show_all(request: HttpRequest) -> HttpResponse:  # noqa: ARG001
         with core.journal.reading() as state:
             entries = sorted(state.catalogue_by_name.items())
-        rows = [_row(name, versioned) for name, versioned in entries]
+        rows = [_entry_summary(name, versioned) for name, versioned in entries]
         return json_response({"entries": rows})
 
     @application.route("GET", "/v1/catalogue/{name}")
     def show(request: HttpRequest) -> HttpResponse:
         name = request.path_values["name"]
-        versioned = _find(core, name)
+        versioned = _find_entry(core, name)
         if versioned is None:
-            return problem_response(_unknown(name))
+            return problem_response(_unknown_entry(name))
         return json_response(
-            _plain(versioned.entry),
+            _entry_fields(versioned.entry),
             headers=(("ETag", f'"{versioned.version}"'),),
         )
 
     @application.route("GET", "/v1/catalogue/{name}/applied")
     def applied(request: HttpRequest) -> HttpResponse:
         name = request.path_values["name"]
-        versioned = _find(core, name)
+        versioned = _find_entry(core, name)
         if versioned is None:
-            return problem_response(_unknown(name))
-        instances = _instances(core, versioned.offset)
+            return problem_response(_unknown_entry(name))
+        instances = _applied_by_instance(core, versioned.offset)
         return json_response(
             {
                 "name": name,
@@ -88,13 +88,13 @@
         try:
             entry = parse_entry(request.json())
         except (InvalidEntryError, ValueError) as error:
-            return _refuse(name, not_run(FailureCode.INVALID, str(error)))
+            return _log_refusal(name, not_run(FailureCode.INVALID, str(error)))
         expected = _expected_version(core, request)
         if isinstance(expected, Err):
-            return _refuse(name, expected.err_value)
+            return _log_refusal(name, expected.err_value)
         if entry.name != name:
             detail = f"name: found {entry.name!r}; the path says {name!r}"
-            return _refuse(name, not_run(FailureCode.INVALID, detail))
+            return _log_refusal(name, not_run(FailureCode.INVALID, detail))
         version = expected.ok_value
         if request.query_by_name.get("dry_run") == "true":
             return json_response({"name": name, "valid": True})
@@ -103,11 +103,11 @@
     @application.route("DELETE", "/v1/catalogue/{name}")
     def delete(request: HttpRequest) -> HttpResponse:
         name = request.path_values["name"]
-        if _find(core, name) is None:
-            return problem_response(_unknown(name))
+        if _find_entry(core, name) is None:
+            return problem_response(_unknown_entry(name))
         expected = _expected_version(core, request)
         if isinstance(expected, Err):
-            return _refuse(name, expected.err_value)
+            return _log_refusal(name, expected.err_value)
         return _commit(core, name, CatalogueDelete(name, expected.ok_value))
 
 
@@ -119,10 +119,10 @@
         return problem_response(outcome.err_value)
     if not outcome.ok_value.applied:
         reason = outcome.ok_value.reason
-        return _refuse(name, not_run(FailureCode.CONFLICT, reason))
+        return _log_refusal(name, not_run(FailureCode.CONFLICT, reason))
     deleted = isinstance(change, CatalogueDelete)
     log_event("catalogue-changed", entry=name, deleted=deleted)
-    versioned = _find(core, name)
+    versioned = _find_entry(core, name)
     if deleted or versioned is None:
         return json_response({"name": name, "deleted": deleted})
     return json_response(
@@ -135,7 +135,7 @@
     )
 
 
-def _refuse(name: str, failure: Failure) -> HttpResponse:
+def _log_refusal(name: str, failure: Failure) -> HttpResponse:
     log_event("catalogue-refused", entry=name, reason=failure.detail)
     return problem_response(failure)
 
@@ -143,7 +143,7 @@
 def _expected_version(
     core: EntryCore, request: HttpRequest
 ) -> Result[int, Failure]:
-    current = _find(core, request.path_values["name"])
+    current = _find_entry(core, request.path_values["name"])
     given = request.headers_by_name.get("if-match")
     if given is None:
         if current is None:
@@ -165,16 +165,16 @@
     return Ok(version)
 
 
-def _find(core: EntryCore, name: str) -> VersionedEntry | None:
+def _find_entry(core: EntryCore, name: str) -> VersionedEntry | None:
     with core.journal.reading() as state:
         return state.catalogue_by_name.get(name)
 
 
-def _unknown(name: str) -> Failure:
+def _unknown_entry(name: str) -> Failure:
     return not_run(FailureCode.NOT_FOUND, f"no catalogue entry {name!r}")
 
 
-def _row(name: str, versioned: VersionedEntry) -> dict[str, object]:
+def _entry_summary(name: str, versioned: VersionedEntry) -> dict[str, object]:
     return {
         "name": name,
         "owner": versioned.entry.owner,
@@ -184,12 +184,14 @@
     }
 
 
-def _plain(entry: CatalogueEntry) -> dict[str, object]:
+def _entry_fields(entry: CatalogueEntry) -> dict[str, object]:
     return {**entry._asdict(), "limits": entry.limits._asdict()}
 
 
-def _instances(core: EntryCore, offset: int) -> list[dict[str, object]]:
-    own = core.membership.beat()
+def _applied_by_instance(
+    core: EntryCore, offset: int
+) -> list[dict[str, object]]:
+    own = core.membership.own_heartbeat()
     rows = [(own.instance_id, own.zone, "self", own.next_offset)]
     rows += [
         (
--- a/src/magnoliapitch/api/explanation.py
+++ b/src/magnoliapitch/api/explanation.py
@@ -23,7 +23,7 @@
     from magnoliapitch.entry.core import EntryCore
 
 
-TEMPORARY_REDIRECT = 307
+HTTP_TEMPORARY_REDIRECT = 307
 NO_OWNER_RETRY_MS = 1_000
 
 
@@ -53,10 +53,10 @@
             url = owner.url + request.path
             return json_response(
                 {"job_id": job_id, "owner_url": url},
-                TEMPORARY_REDIRECT,
+                HTTP_TEMPORARY_REDIRECT,
                 (("Location", url),),
             )
-        explanation = core.jobs.explain(job_id)
+        explanation = core.job_manager.explain(job_id)
         if explanation is None:
             return json_response({"job_id": job_id, "waits": False})
         return json_response({"waits": True, **explanation._asdict()})
--- a/src/magnoliapitch/bench/capacity/message.py
+++ b/src/magnoliapitch/bench/capacity/message.py
@@ -50,7 +50,7 @@
 def loads(size: int) -> float:
     """Encode a heartbeat with loads."""
     units = tuple(UnitLoad(f"zone-1-rack-{n}") for n in range(size))
-    fields = codec.beat_to_dict(sample_beat()._replace(loads=units))
+    fields = codec.heartbeat_to_dict(sample_beat()._replace(loads=units))
     return float(len(codec.schema.Beat.new_message(**fields).to_bytes()))
 
 
@@ -63,5 +63,5 @@
         )
         for n in range(size)
     )
-    fields = codec.beat_to_dict(sample_beat()._replace(members=infos))
+    fields = codec.heartbeat_to_dict(sample_beat()._replace(members=infos))
     return float(len(codec.schema.Beat.new_message(**fields).to_bytes()))
--- a/src/magnoliapitch/bench/capacity/processor.py
+++ b/src/magnoliapitch/bench/capacity/processor.py
@@ -22,9 +22,9 @@
 from magnoliapitch.json_value import to_json_value
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.peer import codec
-from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.worker.lease import WorkerView
 
 
@@ -138,15 +138,15 @@
     return lambda: sample.log_records(entries, 50)
 
 
-def sample_beat() -> Beat:
+def sample_beat() -> Heartbeat:
     """Return a heartbeat without loads or member table."""
-    return Beat("entry-1", sample.WRITER, "zone-1", 123_456, 20)
+    return Heartbeat("entry-1", sample.WRITER, "zone-1", 123_456, 20)
 
 
-def _beat_round(beat: Beat) -> None:
-    message = codec.schema.Beat.new_message(**codec.beat_to_dict(beat))
+def _beat_round(beat: Heartbeat) -> None:
+    message = codec.schema.Beat.new_message(**codec.heartbeat_to_dict(beat))
     with codec.schema.Beat.from_bytes(message.to_bytes()) as reader:
-        codec.beat_from(reader)
+        codec.heartbeat_from(reader)
 
 
 def _fold_call(entries: list[RecordEntry], batch: int) -> Callable[[], object]:
--- a/src/magnoliapitch/bench/capacity/wire.py
+++ b/src/magnoliapitch/bench/capacity/wire.py
@@ -23,7 +23,7 @@
     from collections.abc import Callable
 
     from magnoliapitch.journal.record import RecordEntry
-    from magnoliapitch.peer.message import Beat
+    from magnoliapitch.peer.message import Heartbeat
 
 
 CALLS = 20
@@ -87,7 +87,7 @@
 
 
 class _Echo:
-    def heartbeat(self, beat: Beat) -> Beat:
+    def heartbeat(self, beat: Heartbeat) -> Heartbeat:
         return beat
 
 
--- a/src/magnoliapitch/bench/journal/heartbeat.py
+++ b/src/magnoliapitch/bench/journal/heartbeat.py
@@ -21,7 +21,7 @@
     from collections.abc import Callable
     from collections.abc import Mapping
 
-    from magnoliapitch.peer.message import Beat
+    from magnoliapitch.peer.message import Heartbeat
 
 
 ROUND_MS = 1_000
@@ -46,9 +46,9 @@
 class Member(Membership):
     """A membership that serves its peers' heartbeats."""
 
-    def heartbeat(self, beat: Beat) -> Beat:
+    def heartbeat(self, beat: Heartbeat) -> Heartbeat:
         """Take in a peer's heartbeat and return the own one."""
-        return self.receive(beat)
+        return self.handle_heartbeat(beat)
 
 
 class CountingLink:
@@ -65,9 +65,9 @@
 
     def heartbeat_all(
         self,
-        beats_by_address: Mapping[str, Beat],
+        beats_by_address: Mapping[str, Heartbeat],
         timeout_ms: int,  # noqa: ARG002
-        on_answer: Callable[[str, Beat], None],
+        on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
         """Exchange heartbeats with many peers, one after another."""
         for address, beat in beats_by_address.items():
@@ -115,9 +115,9 @@
         self.journals.append(journal)
 
 
-def beat_bytes(beat: Beat) -> int:
+def beat_bytes(beat: Heartbeat) -> int:
     """Return the encoded size of a heartbeat."""
-    message = codec.schema.Beat.new_message(**codec.beat_to_dict(beat))
+    message = codec.schema.Beat.new_message(**codec.heartbeat_to_dict(beat))
     return len(message.to_bytes_packed())
 
 
--- a/src/magnoliapitch/bench/journal/progress.py
+++ b/src/magnoliapitch/bench/journal/progress.py
@@ -51,7 +51,7 @@
         if group.members[0].applied_everywhere().covers(offset):
             break
     messages = group.link.messages - before
-    beat = group.members[0].beat()
+    beat = group.members[0].own_heartbeat()
     bare = beat._replace(zones=(), next_offset=0, seen_offset=0)
     extra_bytes = beat_bytes(beat) - beat_bytes(bare)
     delay_ms = group.clock.now_ms() - started_ms
--- a/src/magnoliapitch/capacity/plan.py
+++ b/src/magnoliapitch/capacity/plan.py
@@ -8,7 +8,7 @@
 from magnoliapitch.membership.fleet import REFRESH_INTERVAL_MS
 from magnoliapitch.membership.presence import PRESENCE_INTERVAL_MS
 from magnoliapitch.membership.table import HEARTBEAT_INTERVAL_MS
-from magnoliapitch.membership.topology import REMOTE_LINKS
+from magnoliapitch.membership.topology import MAX_REMOTE_LINKS
 from magnoliapitch.worker.lease import LEASE_TTL_MAX_MS
 
 
@@ -41,7 +41,7 @@
     lease_ttl_s: float = LEASE_TTL_MAX_MS / 1000
     poll_s: float = POLL_BUSY_MS / 1000
     heartbeat_s: float = HEARTBEAT_INTERVAL_MS / 1000
-    remote_links: int = REMOTE_LINKS
+    remote_links: int = MAX_REMOTE_LINKS
     presence_s: float = PRESENCE_INTERVAL_MS / 1000
     catalogue_entries_per_team: int = 10
     snapshot_interval_s: float = 600
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -7,7 +7,7 @@
 
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.decision.synchronized import SynchronizedScheduler
-from magnoliapitch.entry.job_service import JobDesk
+from magnoliapitch.entry.job_service import JobService
 from magnoliapitch.event import log_event
 from magnoliapitch.job.manager import JobManager
 from magnoliapitch.journal.journal import Journal
@@ -17,15 +17,15 @@
 from magnoliapitch.membership.fleet import Fleet
 from magnoliapitch.membership.identity import Identity
 from magnoliapitch.membership.membership import Membership
-from magnoliapitch.membership.presence import PresenceKeeper
-from magnoliapitch.membership.relay import PeerRelay
+from magnoliapitch.membership.presence import MembershipRecorder
+from magnoliapitch.membership.relay import PeerLogSource
 from magnoliapitch.metric import Metrics
 from magnoliapitch.ownership.claimer import Claimer
 from magnoliapitch.ownership.job_mover import JobMover
 from magnoliapitch.ownership.presence_lease import PresenceLease
-from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.message import LogPage
 from magnoliapitch.policy.options import options_of
 from magnoliapitch.request.router import Router
@@ -51,9 +51,9 @@
 
 
 DEFAULT_PATIENCE_MS = 10_000
-DRAIN_RETRY_MS = 100
-INCOMPLETE_RETRY_MS = 1_000
-LEAVE_TRIES = 5
+DRAINING_RETRY_MS = 100
+INCOMPLETE_HISTORY_RETRY_MS = 1_000
+MAX_LEAVE_ATTEMPTS = 5
 
 
 class NamedStep(NamedTuple):
@@ -109,14 +109,14 @@
             self.fleet,
             settings.peer_addresses,
         )
-        self.presence = PresenceKeeper(
+        self.membership_recorder = MembershipRecorder(
             self.membership,
             self.journal,
             self.fleet,
             self.clock,
-            self._retire,
+            self._handle_superseded,
         )
-        self.journal.follower.source = PeerRelay(self.membership, link)
+        self.journal.follower.source = PeerLogSource(self.membership, link)
         self.claimer = Claimer(
             self.identity,
             self.journal,
@@ -139,23 +139,23 @@
                 options_of(settings.profile, settings.weights),
             )
         )
-        self.hold = PresenceLease(
+        self.presence_lease = PresenceLease(
             self.identity.incarnation, self.journal, self.clock
         )
-        self.desk = JobDesk(self.journal, self.fleet, scheduler)
-        self.jobs = JobManager(
+        self.job_service = JobService(self.journal, self.fleet, scheduler)
+        self.job_manager = JobManager(
             self.journal,
             self.fleet,
             self.claimer,
             adapters.workers,
             scheduler,
             self.clock,
-            self.hold,
+            self.presence_lease,
             runner,
             settings.timing.lease_ttl_ms,
             self.metrics,
         )
-        self.mover = JobMover(
+        self.job_mover = JobMover(
             settings.zone, self.journal, self.claimer, self.clock
         )
         self._link = link
@@ -177,14 +177,14 @@
                 lambda: self.journal.append_step(wait_ms),
                 "platform",
             ),
-            NamedStep("presence", self.presence.step),
+            NamedStep("presence", self.membership_recorder.step),
             NamedStep("snapshots", self.snapshots.step, "platform"),
             NamedStep("fleet", self.fleet.refresh_step, "platform"),
             NamedStep("heartbeat", self._heartbeat_step),
             NamedStep("claimer", self.claimer.claim_step),
-            NamedStep("hold", self.hold.step),
-            NamedStep("mover", self.mover.step),
-            NamedStep("jobs", self.jobs.step),
+            NamedStep("hold", self.presence_lease.step),
+            NamedStep("mover", self.job_mover.step),
+            NamedStep("jobs", self.job_manager.step),
         )
 
     def join(self) -> None:
@@ -202,7 +202,7 @@
     def leave(self) -> None:
         """Announce the departure; call it when no step runs any more."""
         self.journal.enqueue(EntryLeave(self.identity.incarnation))
-        for _ in range(LEAVE_TRIES):
+        for _ in range(MAX_LEAVE_ATTEMPTS):
             if not self.journal.has_unsent():
                 return
             self.journal.append_step()
@@ -232,14 +232,14 @@
             return not_run(
                 FailureCode.UNAVAILABLE,
                 "the log's history is not known yet",
-                INCOMPLETE_RETRY_MS,
+                INCOMPLETE_HISTORY_RETRY_MS,
             )
         if not self.is_draining:
             return None
         return not_run(
             FailureCode.SHUTTING_DOWN,
             f"instance {self.identity.instance_id} is stopping",
-            DRAIN_RETRY_MS,
+            DRAINING_RETRY_MS,
         )
 
     def patience_ms(self, entry: str) -> int:
@@ -250,7 +250,7 @@
             return DEFAULT_PATIENCE_MS
         return versioned.entry.patience_ms
 
-    def class_of(self, entry: str) -> str:
+    def work_class_of(self, entry: str) -> str:
         """Return the class of an entry's work, or ``unknown``."""
         with self.journal.reading() as state:
             versioned = state.catalogue_by_name.get(entry)
@@ -260,12 +260,12 @@
         """Return what the log knows of a job."""
         with self.journal.reading() as state:
             job = state.jobs_by_id.get(job_id)
-            return None if job is None else _job_row(job)
+            return None if job is None else _job_summary(job)
 
     def job_list(self) -> list[dict[str, object]]:
         """Return what the log knows of every job."""
         with self.journal.reading() as state:
-            return [_job_row(job) for job in state.jobs_by_id.values()]
+            return [_job_summary(job) for job in state.jobs_by_id.values()]
 
     def dump(self) -> dict[str, object]:
         """Return the state of every part."""
@@ -273,14 +273,14 @@
             "journal": self.journal.dump(),
             "membership": self.membership.dump(),
             "router": self.router.dump(),
-            "jobs": self.jobs.dump(),
+            "jobs": self.job_manager.dump(),
             "draining": self.is_draining,
             "metrics": self.metrics.dump(),
         }
 
-    def heartbeat(self, beat: Beat) -> Beat:
+    def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
         """Take in a peer's heartbeat and return the own one."""
-        return self.membership.receive(beat)
+        return self.membership.handle_heartbeat(heartbeat)
 
     def forward(
         self, request: ForwardedRequest
@@ -290,9 +290,9 @@
 
     def read_log(self, from_offset: int, limit: int) -> LogPage:
         """Relay log records."""
-        beat = self.membership.beat()
+        heartbeat = self.membership.own_heartbeat()
         records = self.journal.page(from_offset, limit)
-        return LogPage(records, beat.next_offset, beat.log_age_ms)
+        return LogPage(records, heartbeat.next_offset, heartbeat.log_age_ms)
 
     def snapshot(self) -> StateSnapshot:
         """Return the encoded fold."""
@@ -306,7 +306,7 @@
         port = self.settings.listeners.caller_port
         return f"http://{self.settings.address}:{port}"
 
-    def _retire(self) -> None:
+    def _handle_superseded(self) -> None:
         """Stop working for good: another incarnation has taken over."""
         if self.is_draining:
             return
@@ -316,7 +316,7 @@
             self.on_superseded()
 
 
-def _job_row(job: JobRecord) -> dict[str, object]:
+def _job_summary(job: JobRecord) -> dict[str, object]:
     return {
         "job_id": job.spec.job_id,
         "entry": job.spec.entry,
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -63,12 +63,12 @@
 CONFIGURATION_WAIT_MS = 700
 CONFIGURATION_RETRY_MS = 200
 # The balancer notices an instance that is not ready within two checks.
-BALANCER_DELAY_MS = 2_500
+LOAD_BALANCER_DELAY_MS = 2_500
 STOP_TIMEOUT_S = 2
 # The leader decides and sends every order, so that it needs both.
-LEADER_CORES = 1.0
-LEADER_LINK_MBPS = 50.0
-WEAK_HANDICAP_MS = 1_500
+MIN_LEADER_CORES = 1.0
+MIN_LEADER_LINK_MBPS = 50.0
+WEAK_MACHINE_CLAIM_DELAY_MS = 1_500
 
 
 class JobNode:
@@ -85,7 +85,7 @@
         self._is_draining = False
         self._health = StoreHealth(self._clock)
         self._metrics = Metrics()
-        self._cost = ProcessUsageMeter()
+        self._usage_meter = ProcessUsageMeter()
         client = HttpClient(32, self._observe_call)
         store = PlatformStore(settings.endpoints.store, client)
         self._directory = PlatformDirectory(store)
@@ -101,7 +101,7 @@
                 self._desk.configuration() is not None
                 and not self._is_draining
             ),
-            _handicap_ms(settings.machine),
+            _claim_delay_ms(settings.machine),
         )
         producer = f"{settings.instance_id}.{os.urandom(6).hex()}"
         self._submitter = Submitter(
@@ -110,8 +110,8 @@
         self._desk = JobDesk(
             self._states,
             self._submitter,
-            self._refresh,
-            self._wait,
+            self._refresh_states,
+            self._sleep,
             self._metrics,
         )
         ip = settings.listen.callers.partition(":")[0]
@@ -139,7 +139,7 @@
             lambda post: Archive(store, self._clock, self._health, post),
             self._metrics,
         )
-        self._tree = Supervisor(
+        self._supervisor = Supervisor(
             "entry", self._children(), self._clock, give_up=give_up
         )
 
@@ -148,7 +148,7 @@
 
         :raises StartError: if a listener cannot be bound.
         """
-        self._tree.start()
+        self._supervisor.start()
         log_event("entry-started", pid=os.getpid())
 
     def stop(self) -> None:
@@ -158,8 +158,8 @@
         self._desk.close()
         self._driver.stop()
         self._members.leave()
-        time.sleep(BALANCER_DELAY_MS / 1000)
-        self._tree.stop()
+        time.sleep(LOAD_BALANCER_DELAY_MS / 1000)
+        self._supervisor.stop()
         log_event("entry-stopped")
 
     def is_ready(self) -> bool:
@@ -177,13 +177,13 @@
 
     def _children(self) -> list[Child]:
         listen = self.settings.listen
-        operators = Application(BODY_MAX_BYTES)
-        operators.route("GET", "/readyz")(self._readiness)
+        readiness = Application(BODY_MAX_BYTES)
+        readiness.route("GET", "/readyz")(self._serve_readiness)
         metrics = Application(BODY_MAX_BYTES)
-        metrics.route("GET", "/metrics")(self._exposition)
+        metrics.route("GET", "/metrics")(self._serve_metrics)
         ip = listen.callers.partition(":")[0]
         steps = {
-            "configuration": self._follow_configuration,
+            "configuration": self._poll_configuration,
             "jobs": self._driver.follow_jobs,
             "leadership": self._leadership.step,
             "members": self._members.step,
@@ -194,7 +194,7 @@
             Listener(
                 "readiness",
                 _address(listen.readiness),
-                operators,
+                readiness,
                 READINESS_THREADS,
                 STOP_TIMEOUT_S,
             ),
@@ -223,7 +223,7 @@
             ),
         ]
 
-    def _refresh(self) -> Result[None, Failure]:
+    def _refresh_states(self) -> Result[None, Failure]:
         if self._leadership.claim is not None:
             return Ok(None)
         return self._leadership.follow()
@@ -235,10 +235,10 @@
         if not is_ok:
             self._metrics.count("outgoing_calls_failed", path)
 
-    def _wait(self, duration_ms: int) -> None:
+    def _sleep(self, duration_ms: int) -> None:
         time.sleep(duration_ms / 1000)
 
-    def _follow_configuration(self) -> int:
+    def _poll_configuration(self) -> int:
         outcome = self._directory.configuration(CONFIGURATION_WAIT_MS)
         if isinstance(outcome, Err):
             return CONFIGURATION_RETRY_MS
@@ -259,23 +259,23 @@
             queues=len(configuration.queues_by_name),
         )
 
-    def _readiness(self, request: HttpRequest) -> HttpResponse:
+    def _serve_readiness(self, request: HttpRequest) -> HttpResponse:
         del request
         return HttpResponse(200 if self.is_ready() else 503, b"{}")
 
-    def _exposition(self, request: HttpRequest) -> HttpResponse:
+    def _serve_metrics(self, request: HttpRequest) -> HttpResponse:
         del request
-        text = prometheus_text(self._metrics, self._cost.read())
+        text = prometheus_text(self._metrics, self._usage_meter.read())
         return HttpResponse(200, text.encode(), "text/plain")
 
 
-def _handicap_ms(machine: MachineSettings) -> int:
+def _claim_delay_ms(machine: MachineSettings) -> int:
     """Return how much longer a machine too weak to lead well waits."""
     is_strong = (
-        machine.cpu_share * machine.cores >= LEADER_CORES
-        and machine.link_mbps >= LEADER_LINK_MBPS
+        machine.cpu_share * machine.cores >= MIN_LEADER_CORES
+        and machine.link_mbps >= MIN_LEADER_LINK_MBPS
     )
-    return 0 if is_strong else WEAK_HANDICAP_MS
+    return 0 if is_strong else WEAK_MACHINE_CLAIM_DELAY_MS
 
 
 def _address(text: str) -> tuple[str, int]:
--- a/src/magnoliapitch/entry/job_service.py
+++ b/src/magnoliapitch/entry/job_service.py
@@ -32,7 +32,7 @@
 QUEUE_FULL_RETRY_MS = 30_000
 
 
-class JobDesk:
+class JobService:
     """Chooses the rack of a new job, or refuses what can never run."""
 
     def __init__(
@@ -44,14 +44,14 @@
         self._journal = journal
         self._fleet = fleet
         self._scheduler = scheduler
-        self._shapes: dict[str, tuple[WorkerShape, ...]] = {}
-        self._shapes_generation = -1
+        self._cached_shapes_by_unit: dict[str, tuple[WorkerShape, ...]] = {}
+        self._cached_generation = -1
 
     def submit(self, job: JobSpec, timeout_ms: int) -> Result[None, Failure]:
         """Accept a job through the log; the same job again is accepted."""
-        known = self._known(job)
-        if known is not None:
-            return known
+        known_job = self._outcome_of_known(job)
+        if known_job is not None:
+            return known_job
         unit = self.choose_unit(job)
         if isinstance(unit, Err):
             return unit
@@ -63,7 +63,9 @@
         if outcome.ok_value.applied:
             return Ok(None)
         reason = outcome.ok_value.reason
-        return self._known(job) or Err(not_run(FailureCode.CONFLICT, reason))
+        return self._outcome_of_known(job) or Err(
+            not_run(FailureCode.CONFLICT, reason)
+        )
 
     def cancel(self, job_id: str, timeout_ms: int) -> Result[None, Failure]:
         """Cancel a job through the log; cancelling again is accepted."""
@@ -97,7 +99,7 @@
                     NO_RACK_RETRY_MS,
                 )
             )
-        task = _request(job, versioned.entry)
+        task = _task_request(job, versioned.entry)
         reason = ""
         for unit in sorted(load_by_unit, key=load_by_unit.__getitem__):
             reason = self._scheduler.infeasibility_reason(
@@ -105,10 +107,10 @@
             )
             if not reason:
                 limit = versioned.entry.limits.queued
-                return self._bounded(job, unit, limit)
+                return self._check_queue_limit(job, unit, limit)
         return Err(not_run(FailureCode.IMPOSSIBLE, reason))
 
-    def _bounded(
+    def _check_queue_limit(
         self, job: JobSpec, unit: str, limit: int
     ) -> Result[str, Failure]:
         """Refuse a job whose entry has too many tasks waiting."""
@@ -125,13 +127,13 @@
             )
         )
 
-    def _known(self, job: JobSpec) -> Result[None, Failure] | None:
+    def _outcome_of_known(self, job: JobSpec) -> Result[None, Failure] | None:
         """Return the answer to a job whose id the log knows."""
         with self._journal.reading() as state:
-            known = state.jobs_by_id.get(job.job_id)
-        if known is None:
+            known_job = state.jobs_by_id.get(job.job_id)
+        if known_job is None:
             return None
-        if known.spec == job:
+        if known_job.spec == job:
             return Ok(None)
         return Err(
             not_run(
@@ -148,17 +150,19 @@
     def _shapes_by_unit(self) -> dict[str, tuple[WorkerShape, ...]]:
         """Return the workers of each rack, made anew for a new list."""
         generation = self._fleet.generation
-        if self._shapes_generation == generation:
-            return self._shapes
+        if self._cached_generation == generation:
+            return self._cached_shapes_by_unit
         found: dict[str, list[WorkerShape]] = {}
         for worker in self._fleet.of_role(InstanceRole.WORKER):
             shape = WorkerShape(
                 worker.instance_id, worker.unit, worker.zone, worker.capacity
             )
             found.setdefault(worker.unit, []).append(shape)
-        self._shapes = {unit: tuple(items) for unit, items in found.items()}
-        self._shapes_generation = generation
-        return self._shapes
+        self._cached_shapes_by_unit = {
+            unit: tuple(items) for unit, items in found.items()
+        }
+        self._cached_generation = generation
+        return self._cached_shapes_by_unit
 
     def _load_by_unit(
         self, shapes_by_unit: dict[str, tuple[WorkerShape, ...]]
@@ -173,7 +177,7 @@
         return {unit: (load, unit) for unit, load in load_by_unit.items()}
 
 
-def _request(job: JobSpec, entry: CatalogueEntry) -> TaskRequest:
+def _task_request(job: JobSpec, entry: CatalogueEntry) -> TaskRequest:
     is_gang = entry.work_class is WorkClass.GANG
     return TaskRequest(
         f"{job.job_id}/0/0",
--- a/src/magnoliapitch/entry/node.py
+++ b/src/magnoliapitch/entry/node.py
@@ -13,7 +13,7 @@
 from magnoliapitch.entry.adapters import Adapters
 from magnoliapitch.entry.core import EntryCore
 from magnoliapitch.entry.tree import TreeOptions
-from magnoliapitch.entry.tree import make_tree
+from magnoliapitch.entry.tree import make_supervisor_tree
 from magnoliapitch.event import log_event
 from magnoliapitch.http import Listener
 from magnoliapitch.metric import ProcessUsageMeter
@@ -50,16 +50,16 @@
     ) -> None:
         self.settings = settings
         self.clock = clock or MonotonicClock()
-        self.cost = ProcessUsageMeter()
+        self.usage_meter = ProcessUsageMeter()
         address = settings.address
         self.peer_node = PeerNode((address, settings.listeners.peer_port))
-        self.worker_calls = PooledRunner()
+        self.worker_call_runner = PooledRunner()
         self.core = EntryCore(
             settings,
             adapters,
             self.peer_node,
             self.clock,
-            self.worker_calls,
+            self.worker_call_runner,
         )
         self.core.on_superseded = give_up
         self.peer_node.handler = self.core
@@ -77,11 +77,11 @@
             admin_application(self),
             settings.listeners.admin_threads,
         )
-        self.supervisor = make_tree(
+        self.supervisor = make_supervisor_tree(
             self.core.steps(STEP_WAIT_MS),
             (self.admin_listener,),
             (self.peer_node, self.caller_listener),
-            TreeOptions(self.clock, _policy_of(settings), give_up),
+            TreeOptions(self.clock, _restart_policy(settings), give_up),
         )
 
     @classmethod
@@ -109,7 +109,7 @@
         return {
             "instance": self.core.identity._asdict(),
             "version": __version__,
-            "cost": self.cost.read()._asdict(),
+            "cost": self.usage_meter.read()._asdict(),
             "supervisor": self.supervisor.dump(),
             **self.core.dump(),
         }
@@ -118,15 +118,15 @@
         """Refuse new work, finish what is in flight and stop."""
         log_event("entry-stopping")
         self.core.drain()
-        self._await_answers()
+        self._wait_for_requests_in_flight()
         self.supervisor.stop()
-        self.worker_calls.stop()
+        self.worker_call_runner.stop()
         self.core.leave()
         log_event("entry-stopped")
 
-    def _await_answers(self) -> None:
+    def _wait_for_requests_in_flight(self) -> None:
         """Keep refusing new requests until those in flight are answered."""
-        never = threading.Event()
+        never_set = threading.Event()
         timeout_ms = self.settings.timing.drain_timeout_ms
         deadline_ms = self.clock.now_ms() + timeout_ms
         while self.core.router.in_flight():
@@ -135,10 +135,10 @@
                     "drain-timed-out", in_flight=self.core.router.in_flight()
                 )
                 return
-            self.clock.wait(never, DRAIN_CHECK_MS)
+            self.clock.wait(never_set, DRAIN_CHECK_MS)
 
 
-def _policy_of(settings: Settings) -> RestartPolicy:
+def _restart_policy(settings: Settings) -> RestartPolicy:
     return RestartPolicy(
         settings.limits.restarts,
         settings.limits.restart_window_ms,
--- a/src/magnoliapitch/entry/tree.py
+++ b/src/magnoliapitch/entry/tree.py
@@ -33,32 +33,34 @@
     policy: RestartPolicy
     give_up: Callable[[], None] | None = None
 
-    def supervisor(self, name: str, children: list[Child]) -> Supervisor:
+    def make_supervisor(self, name: str, children: list[Child]) -> Supervisor:
         """Return a supervisor with these options."""
         return Supervisor(
             name, children, self.clock, self.policy, self.give_up
         )
 
 
-def make_tree(
+def make_supervisor_tree(
     steps: tuple[NamedStep, ...],
-    first: tuple[Child, ...],
-    last: tuple[Child, ...],
+    before_loops: tuple[Child, ...],
+    after_loops: tuple[Child, ...],
     options: TreeOptions,
 ) -> Supervisor:
     """Return the root with a supervisor for each branch of steps.
 
-    :param first: children that start before every loop.
-    :param last: children that start after every loop.
+    :param before_loops: children that start before every loop.
+    :param after_loops: children that start after every loop.
     """
     steps_by_branch: dict[str, list[NamedStep]] = {}
     for step in steps:
         steps_by_branch.setdefault(step.branch, []).append(step)
     branches: list[Child] = [
-        options.supervisor(
+        options.make_supervisor(
             branch,
             [Loop(item.name, item.step, options.clock) for item in members],
         )
         for branch, members in steps_by_branch.items()
     ]
-    return options.supervisor("entry", [*first, *branches, *last])
+    return options.make_supervisor(
+        "entry", [*before_loops, *branches, *after_loops]
+    )
--- a/src/magnoliapitch/membership/fleet.py
+++ b/src/magnoliapitch/membership/fleet.py
@@ -43,7 +43,7 @@
     def refresh_step(self) -> int:
         """Fetch the list; return milliseconds until the next refresh."""
         outcome = self._instance_list.instances()
-        self._note_list(outcome)
+        self._record_outcome(outcome)
         if not isinstance(outcome, Err):
             self._update(outcome.ok_value)
         return REFRESH_INTERVAL_MS
@@ -72,7 +72,7 @@
         }
         self.generation += 1
 
-    def _note_list(
+    def _record_outcome(
         self, outcome: Result[tuple[InstanceInfo, ...], Failure]
     ) -> None:
         was_fresh = self._was_fresh
--- a/src/magnoliapitch/membership/http_instance_list.py
+++ b/src/magnoliapitch/membership/http_instance_list.py
@@ -23,13 +23,13 @@
     from magnoliapitch.verdict import Failure
 
 
-class InstanceAnswer(TypedDict):
+class InstanceListResponse(TypedDict):
     """Answer of the instance list."""
 
     instances: tuple[InstanceInfo, ...]
 
 
-_ADAPTER = TypeAdapter(InstanceAnswer)
+_ADAPTER = TypeAdapter(InstanceListResponse)
 
 
 class HttpInstanceList:
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -16,7 +16,7 @@
 from magnoliapitch.membership.table import HEARTBEAT_INTERVAL_MS
 from magnoliapitch.membership.table import MemberTable
 from magnoliapitch.membership.topology import linked_members
-from magnoliapitch.peer.message import Beat
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.message import UnitLoad
 from magnoliapitch.peer.message import ZoneInfo
 
@@ -31,7 +31,7 @@
 
 
 CALL_TIMEOUT_MS = 500
-NEAR_STATES = (MemberState.LIVE, MemberState.LEAVING)
+RESPONSIVE_STATES = (MemberState.LIVE, MemberState.LEAVING)
 
 
 class Membership:
@@ -41,7 +41,7 @@
 
     :ivar loads: free capacity of the own units, sent with heartbeats.
     :ivar leaving: whether this instance is going to stop.
-    :ivar rounds: rounds of heartbeats since the first peer answered.
+    :ivar completed_rounds: rounds of heartbeats since the first peer answered.
     """
 
     def __init__(
@@ -55,30 +55,32 @@
         self.identity = identity
         self.loads: tuple[UnitLoad, ...] = ()
         self.leaving = False
-        self.rounds = 0
-        self._own = EntryJoin(*identity)
+        self.completed_rounds = 0
+        self._own_join = EntryJoin(*identity)
         self._journal = journal
         self._clock = clock
         self._fleet = fleet
         self._seed_addresses = seed_addresses
         self._table = MemberTable(identity, fleet)
-        self._turn = 0
+        self._round = 0
         self._lock = threading.Lock()
 
-    def beat(self, addressee: str = "", *, whole_zone: bool = False) -> Beat:
+    def own_heartbeat(
+        self, recipient: str = "", *, whole_zone: bool = False
+    ) -> Heartbeat:
         """Return the own heartbeat.
 
-        :param addressee: incarnation that it is for; it learns when this
+        :param recipient: incarnation that it is for; it learns when this
             instance heard it last.
         :param whole_zone: whether to name every member of the own zone.
         """
         next_offset = self._journal.next_offset
-        own_zone = self._zone_info(next_offset, self._near())
+        own_zone = self._zone_info(next_offset, self._zone_peers())
         now_ms = self._clock.now_ms()
         with self._lock:
             table = self._table
             table.seen_offset = max(table.seen_offset, next_offset)
-            return Beat(
+            return Heartbeat(
                 self.identity.instance_id,
                 self.identity.incarnation,
                 self.identity.zone,
@@ -86,17 +88,19 @@
                 self._log_age_ms(),
                 self.leaving,
                 self.loads,
-                table.gossip(addressee, now_ms, whole_zone=whole_zone),
+                table.gossip(recipient, now_ms, whole_zone=whole_zone),
                 self.identity.peer_address,
                 table.seen_offset,
                 self._journal.is_complete,
-                (own_zone, *table.reports_in_turn(now_ms)),
+                (own_zone, *table.rotating_zone_reports(now_ms)),
             )
 
-    def receive(self, beat: Beat) -> Beat:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
         """Take in a peer's heartbeat and return the own one."""
-        self._take(beat)
-        return self.beat(beat.incarnation, whole_zone=not beat.complete)
+        self._record_heartbeat(heartbeat)
+        return self.own_heartbeat(
+            heartbeat.incarnation, whole_zone=not heartbeat.complete
+        )
 
     def heartbeat_step(self, link: PeerLink) -> int:
         """Exchange heartbeats with all that are due, at the same time.
@@ -105,12 +109,14 @@
         """
         started_ms = self._clock.now_ms()
 
-        def take(address: str, answer: Beat) -> None:  # noqa: ARG001
-            self._take(answer, reached_ms=started_ms)
+        def record_answer(address: str, answer: Heartbeat) -> None:  # noqa: ARG001
+            self._record_heartbeat(answer, delivered_ms=started_ms)
 
-        link.heartbeat_all(self._due(started_ms), CALL_TIMEOUT_MS, take)
+        link.heartbeat_all(
+            self._due_heartbeats(started_ms), CALL_TIMEOUT_MS, record_answer
+        )
         with self._lock:
-            self.rounds += self._table.has_contact
+            self.completed_rounds += self._table.has_heard_peer
         elapsed_ms = self._clock.now_ms() - started_ms
         return max(HEARTBEAT_INTERVAL_MS - elapsed_ms, 1)
 
@@ -148,23 +154,28 @@
         own = self._zone_info(self._journal.next_offset, peers)
         now_ms = self._clock.now_ms()
         with self._lock:
-            reports = {item.zone: item for item in self._table.reports(now_ms)}
+            zone_reports = {
+                item.zone: item for item in self._table.zone_reports(now_ms)
+            }
         silent = [
             peer.join.instance_id
             for peer in peers
-            if peer.join.zone == own.zone and peer.state not in NEAR_STATES
+            if peer.join.zone == own.zone
+            and peer.state not in RESPONSIVE_STATES
         ]
         zones = {peer.join.zone for peer in peers}
-        return applied_everywhere(own, reports, silent, zones)
+        return applied_everywhere(own, zone_reports, silent, zones)
 
-    def reachable(self) -> tuple[tuple[PeerStatus, Beat], ...]:
+    def reachable(self) -> tuple[tuple[PeerStatus, Heartbeat], ...]:
         """Return the peers that hear and are heard, with their beats."""
         found = []
         for peer in self.peers():
             with self._lock:
-                beat = self._table.contact(peer.join.incarnation).beat
-            if beat is not None and peer.state in NEAR_STATES:
-                found.append((peer, beat))
+                heartbeat = self._table.contact(
+                    peer.join.incarnation
+                ).heartbeat
+            if heartbeat is not None and peer.state in RESPONSIVE_STATES:
+                found.append((peer, heartbeat))
         return tuple(found)
 
     def dump(self) -> dict[str, object]:
@@ -186,11 +197,15 @@
             ],
         }
 
-    def _take(self, beat: Beat, reached_ms: int | None = None) -> None:
+    def _record_heartbeat(
+        self, heartbeat: Heartbeat, delivered_ms: int | None = None
+    ) -> None:
         with self._lock:
-            self._table.take(beat, self._clock.now_ms(), reached_ms)
+            self._table.record_heartbeat(
+                heartbeat, self._clock.now_ms(), delivered_ms
+            )
 
-    def _near(self) -> tuple[PeerStatus, ...]:
+    def _zone_peers(self) -> tuple[PeerStatus, ...]:
         """Return the peers of the own zone."""
         zone = self.identity.zone
         return self._statuses(
@@ -216,19 +231,21 @@
         joins.pop(self.identity.incarnation, None)
         return list(joins.values())
 
-    def _due(self, now_ms: int) -> dict[str, Beat]:
+    def _due_heartbeats(self, now_ms: int) -> dict[str, Heartbeat]:
         """Return the heartbeats of this round by address."""
         with self._journal.reading() as state:
             members = dict(state.members_by_incarnation)
         joins = self._joins()
         due: dict[str, str] = {}
         with self._lock:
-            self._turn += 1
+            self._round += 1
             self._table.forget(members, now_ms)
             failing = self._table.failing(now_ms)
-            for join in linked_members(self._own, joins, failing):
-                if self._table.is_due(join, now_ms, self._turn):
-                    self._table.contact(join.incarnation).called_ms = now_ms
+            for join in linked_members(self._own_join, joins, failing):
+                if self._table.is_due(join, now_ms, self._round):
+                    self._table.contact(
+                        join.incarnation
+                    ).last_called_ms = now_ms
                     due[join.peer_address] = join.incarnation
         known = {join.peer_address for join in joins}
         for address in self._listed_addresses():
@@ -237,7 +254,7 @@
         due.pop(self.identity.peer_address, None)
         due.pop("", None)
         return {
-            address: self.beat(incarnation)
+            address: self.own_heartbeat(incarnation)
             for address, incarnation in due.items()
         }
 
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -9,7 +9,7 @@
 from magnoliapitch.journal.record import EntryPresence
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.membership.state import MemberState
-from magnoliapitch.membership.topology import hash_of
+from magnoliapitch.membership.topology import stable_hash
 
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 REMOTE_GONE_AFTER_MS = 900_000
 
 
-class PresenceKeeper:
+class MembershipRecorder:
     """Appends the own presence, and leaves for members surely gone.
 
     A member is surely gone when the platform lists entries but not this
@@ -52,10 +52,10 @@
         self._fleet = fleet
         self._clock = clock
         self._on_superseded = on_superseded
-        self._presence: Pending | None = None
-        self._presence_ms = clock.now_ms()
-        self._leaves_by_incarnation: dict[str, Pending] = {}
-        self._news_by_incarnation: dict[str, tuple[int, int]] = {}
+        self._pending_presence: Pending | None = None
+        self._presence_queued_ms = clock.now_ms()
+        self._pending_leaves_by_incarnation: dict[str, Pending] = {}
+        self._silence_by_incarnation: dict[str, tuple[int, int]] = {}
 
     def step(self) -> int:
         """Append what is due; return milliseconds until the next step."""
@@ -63,34 +63,41 @@
             self._on_superseded()
             return CHECK_INTERVAL_MS
         now_ms = self._clock.now_ms()
-        self._announce(now_ms)
+        self._append_presence(now_ms)
         self._remove_gone(now_ms)
         return CHECK_INTERVAL_MS
 
-    def _announce(self, now_ms: int) -> None:
-        if now_ms - self._presence_ms < PRESENCE_INTERVAL_MS:
+    def _append_presence(self, now_ms: int) -> None:
+        if now_ms - self._presence_queued_ms < PRESENCE_INTERVAL_MS:
             return
-        if self._presence is not None and self._presence.outcome is None:
+        if (
+            self._pending_presence is not None
+            and self._pending_presence.outcome is None
+        ):
             return
         incarnation = self._membership.identity.incarnation
-        self._presence = self._journal.enqueue(EntryPresence(incarnation))
-        self._presence_ms = now_ms
+        self._pending_presence = self._journal.enqueue(
+            EntryPresence(incarnation)
+        )
+        self._presence_queued_ms = now_ms
 
     def _remove_gone(self, now_ms: int) -> None:
         if self._journal.follower.is_log_away or not self._fleet.is_fresh:
-            self._news_by_incarnation.clear()
+            self._silence_by_incarnation.clear()
             return
         for peer in self._membership.peers():
-            if self._is_surely_gone(peer, now_ms) and self._is_turn(peer):
-                self._leave(peer)
+            if self._is_confirmed_gone(peer, now_ms) and self._is_responsible(
+                peer
+            ):
+                self._append_leave(peer)
 
-    def _is_surely_gone(self, peer: PeerStatus, now_ms: int) -> bool:
+    def _is_confirmed_gone(self, peer: PeerStatus, now_ms: int) -> bool:
         incarnation = peer.join.incarnation
         with self._journal.reading() as state:
             member = state.members_by_incarnation.get(incarnation)
         if member is None:
             return False
-        known = self._news_by_incarnation.get(incarnation)
+        known = self._silence_by_incarnation.get(incarnation)
         is_silent = peer.state in (MemberState.SUSPECT, MemberState.JOINING)
         is_listed = self._is_listed(peer.join.instance_id)
         if (
@@ -99,13 +106,13 @@
             or not is_silent
             or is_listed
         ):
-            news = (now_ms, member.presence_offset)
-            self._news_by_incarnation[incarnation] = news
+            silence = (now_ms, member.presence_offset)
+            self._silence_by_incarnation[incarnation] = silence
             return False
-        bound_ms = GONE_AFTER_MS
+        gone_after_ms = GONE_AFTER_MS
         if peer.join.zone != self._membership.identity.zone:
-            bound_ms = REMOTE_GONE_AFTER_MS
-        return now_ms - known[0] >= bound_ms
+            gone_after_ms = REMOTE_GONE_AFTER_MS
+        return now_ms - known[0] >= gone_after_ms
 
     def _is_listed(self, instance_id: str) -> bool:
         """Return whether the platform may still know an entry."""
@@ -113,20 +120,23 @@
         ids = {item.instance_id for item in entries}
         return not ids or instance_id in ids
 
-    def _is_turn(self, peer: PeerStatus) -> bool:
+    def _is_responsible(self, peer: PeerStatus) -> bool:
         """Return whether this instance is the one of its zone to act."""
         own = self._membership.identity.incarnation
-        names = [
+        incarnations = [
             item.join.incarnation for item in self._membership.live_in_zone()
         ]
-        ranked = [hash_of(peer.join.incarnation, name) for name in names]
-        return hash_of(peer.join.incarnation, own) < min(
+        ranked = [
+            stable_hash(peer.join.incarnation, incarnation)
+            for incarnation in incarnations
+        ]
+        return stable_hash(peer.join.incarnation, own) < min(
             ranked, default=1 << 64
         )
 
-    def _leave(self, peer: PeerStatus) -> None:
+    def _append_leave(self, peer: PeerStatus) -> None:
         incarnation = peer.join.incarnation
-        pending = self._leaves_by_incarnation.get(incarnation)
+        pending = self._pending_leaves_by_incarnation.get(incarnation)
         if pending is not None and pending.outcome is None:
             return
         log_event(
@@ -134,11 +144,11 @@
             instance_id=peer.join.instance_id,
             incarnation=incarnation,
         )
-        self._leaves_by_incarnation = {
-            name: item
-            for name, item in self._leaves_by_incarnation.items()
+        self._pending_leaves_by_incarnation = {
+            other: item
+            for other, item in self._pending_leaves_by_incarnation.items()
             if item.outcome is None
         }
-        self._leaves_by_incarnation[incarnation] = self._journal.enqueue(
-            EntryLeave(incarnation)
+        self._pending_leaves_by_incarnation[incarnation] = (
+            self._journal.enqueue(EntryLeave(incarnation))
         )
--- a/src/magnoliapitch/membership/relay.py
+++ b/src/magnoliapitch/membership/relay.py
@@ -27,11 +27,11 @@
 
 CALL_TIMEOUT_MS = 1_000
 SNAPSHOT_TIMEOUT_MS = 10_000
-PEERS_TRIED = 3
-ROUNDS_BEFORE_SERVING = 2
+MAX_PEERS_TRIED = 3
+MIN_ROUNDS_BEFORE_SERVING = 2
 
 
-class PeerRelay:
+class PeerLogSource:
     """Asks the peers that heartbeats show to be ahead, the best first."""
 
     def __init__(self, membership: Membership, link: PeerLink) -> None:
@@ -42,7 +42,7 @@
         self, from_offset: int, limit: int
     ) -> Result[LogPage, Failure]:
         """Return records from a peer that is ahead of an offset."""
-        return self._ask(
+        return self._call_peers_ahead(
             from_offset + 1,
             lambda peer: self._link.read_log(
                 peer.join.peer_address, from_offset, limit, CALL_TIMEOUT_MS
@@ -51,7 +51,7 @@
 
     def snapshot(self, min_offset: int) -> Result[StateSnapshot, Failure]:
         """Return a state of at least an offset."""
-        return self._ask(
+        return self._call_peers_ahead(
             min_offset,
             lambda peer: self._link.snapshot(
                 peer.join.peer_address, SNAPSHOT_TIMEOUT_MS
@@ -64,25 +64,30 @@
         Peers are asked for some rounds first, since the first that answers
         may name others that are ahead of it.
         """
-        if self._membership.rounds < ROUNDS_BEFORE_SERVING:
+        if self._membership.completed_rounds < MIN_ROUNDS_BEFORE_SERVING:
             return None
-        beats = [beat for _, beat in self._membership.reachable()]
-        if not any(beat.complete for beat in beats):
+        heartbeats = [
+            heartbeat for _, heartbeat in self._membership.reachable()
+        ]
+        if not any(heartbeat.complete for heartbeat in heartbeats):
             return None
-        return max(max(beat.seen_offset, beat.next_offset) for beat in beats)
+        return max(
+            max(heartbeat.seen_offset, heartbeat.next_offset)
+            for heartbeat in heartbeats
+        )
 
-    def _ask(
+    def _call_peers_ahead(
         self,
         min_offset: int,
         call: Callable[[PeerStatus], Result[AnswerT, Failure]],
     ) -> Result[AnswerT, Failure]:
         ahead = [
             peer
-            for peer, beat in self._membership.reachable()
-            if beat.complete and peer.next_offset >= min_offset
+            for peer, heartbeat in self._membership.reachable()
+            if heartbeat.complete and peer.next_offset >= min_offset
         ]
         ahead.sort(key=lambda peer: peer.next_offset, reverse=True)
-        for peer in ahead[:PEERS_TRIED]:
+        for peer in ahead[:MAX_PEERS_TRIED]:
             answer = call(peer)
             if not isinstance(answer, Err):
                 return answer
--- a/src/magnoliapitch/membership/status.py
+++ b/src/magnoliapitch/membership/status.py
@@ -13,7 +13,7 @@
     """What is known of another entry instance.
 
     :param next_offset: next log offset that it will apply.
-    :param heard_ms: local time of its last heartbeat, -1 for never.
+    :param last_heartbeat_ms: local time of its last heartbeat, -1 for never.
     :param loads: free capacity of the units it owns.
     :param is_one_way: whether it is heard but does not hear this one.
     """
@@ -21,6 +21,6 @@
     join: EntryJoin
     state: MemberState
     next_offset: int
-    heard_ms: int
+    last_heartbeat_ms: int
     loads: tuple[UnitLoad, ...] = ()
     is_one_way: bool = False
--- a/src/magnoliapitch/membership/topology.py
+++ b/src/magnoliapitch/membership/topology.py
@@ -19,7 +19,7 @@
     from magnoliapitch.journal.record import EntryJoin
 
 
-REMOTE_LINKS = 3
+MAX_REMOTE_LINKS = 3
 
 
 def linked_zones(own: EntryJoin, zones: Collection[str]) -> tuple[str, ...]:
@@ -30,8 +30,8 @@
     later = [zone for zone in others if zone > own.zone]
     following = later[0] if later else others[0]
     others.remove(following)
-    others.sort(key=lambda zone: hash_of(own.incarnation, zone))
-    return (following, *others[: REMOTE_LINKS - 1])
+    others.sort(key=lambda zone: stable_hash(own.incarnation, zone))
+    return (following, *others[: MAX_REMOTE_LINKS - 1])
 
 
 def linked_members(
@@ -51,13 +51,13 @@
             (item for item in members if item.zone == zone),
             key=lambda item: (
                 item.incarnation in failing,
-                hash_of(own.incarnation, item.incarnation),
+                stable_hash(own.incarnation, item.incarnation),
             ),
         )
         chosen.append(ranked[0])
     return tuple(chosen)
 
 
-def hash_of(*parts: str) -> int:
+def stable_hash(*parts: str) -> int:
     """Return a hash that is the same on every instance."""
     return xxhash.xxh3_64_intdigest("/".join(parts).encode())
--- a/src/magnoliapitch/peer/codec.py
+++ b/src/magnoliapitch/peer/codec.py
@@ -12,9 +12,9 @@
 from result import Result
 
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.message import LogPage
 from magnoliapitch.peer.message import MemberInfo
 from magnoliapitch.peer.message import UnitLoad
@@ -27,30 +27,30 @@
 
 schema: Any = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
-NO_RETRY_MS = -1
+NO_RETRY_AFTER_MS = -1
 
 
-def beat_to_dict(beat: Beat) -> dict[str, Any]:
+def heartbeat_to_dict(heartbeat: Heartbeat) -> dict[str, Any]:
     """Return the Cap'n Proto fields of a heartbeat."""
     return {
-        "instanceId": beat.instance_id,
-        "incarnation": beat.incarnation,
-        "zone": beat.zone,
-        "nextOffset": beat.next_offset,
-        "logAgeMs": beat.log_age_ms,
-        "leaving": beat.leaving,
-        "loads": [_load_to_dict(load) for load in beat.loads],
-        "members": [_member_to_dict(member) for member in beat.members],
-        "peerAddress": beat.peer_address,
-        "seenOffset": beat.seen_offset,
-        "complete": beat.complete,
-        "zones": [_zone_to_dict(zone) for zone in beat.zones],
+        "instanceId": heartbeat.instance_id,
+        "incarnation": heartbeat.incarnation,
+        "zone": heartbeat.zone,
+        "nextOffset": heartbeat.next_offset,
+        "logAgeMs": heartbeat.log_age_ms,
+        "leaving": heartbeat.leaving,
+        "loads": [_load_to_dict(load) for load in heartbeat.loads],
+        "members": [_member_to_dict(member) for member in heartbeat.members],
+        "peerAddress": heartbeat.peer_address,
+        "seenOffset": heartbeat.seen_offset,
+        "complete": heartbeat.complete,
+        "zones": [_zone_to_dict(zone) for zone in heartbeat.zones],
     }
 
 
-def beat_from(reader: Any) -> Beat:
+def heartbeat_from(reader: Any) -> Heartbeat:
     """Return the heartbeat that a Cap'n Proto reader holds."""
-    return Beat(
+    return Heartbeat(
         reader.instanceId,
         reader.incarnation,
         reader.zone,
@@ -100,17 +100,19 @@
             "requestId": answer.request_id,
             "status": answer.status,
             "body": answer.body,
-            "retryAfterMs": NO_RETRY_MS,
+            "retryAfterMs": NO_RETRY_AFTER_MS,
             "contentType": answer.content_type,
         }
     failure = outcome.err_value
-    retry_ms = failure.retry_after_ms
+    retry_after_ms = failure.retry_after_ms
     return {
         "requestId": request_id,
         "verdict": failure.verdict.value,
         "code": failure.code.value,
         "detail": failure.detail,
-        "retryAfterMs": NO_RETRY_MS if retry_ms is None else retry_ms,
+        "retryAfterMs": NO_RETRY_AFTER_MS
+        if retry_after_ms is None
+        else retry_after_ms,
     }
 
 
@@ -125,13 +127,13 @@
                 reader.contentType,
             )
         )
-    retry_ms = reader.retryAfterMs
+    retry_after_ms = reader.retryAfterMs
     return Err(
         Failure(
             Verdict(reader.verdict),
             FailureCode(reader.code),
             reader.detail,
-            None if retry_ms < 0 else retry_ms,
+            None if retry_after_ms < 0 else retry_after_ms,
         )
     )
 
--- a/src/magnoliapitch/peer/link.py
+++ b/src/magnoliapitch/peer/link.py
@@ -12,9 +12,9 @@
 
     from result import Result
 
-    from magnoliapitch.peer.message import Beat
     from magnoliapitch.peer.message import ForwardedAnswer
     from magnoliapitch.peer.message import ForwardedRequest
+    from magnoliapitch.peer.message import Heartbeat
     from magnoliapitch.peer.message import LogPage
     from magnoliapitch.peer.message import StateSnapshot
     from magnoliapitch.verdict import Failure
@@ -24,15 +24,15 @@
     """Calls to peers by their ``IP:PORT`` address; safe from any thread."""
 
     def heartbeat(
-        self, address: str, beat: Beat, timeout_ms: int
-    ) -> Result[Beat, Failure]:
+        self, address: str, heartbeat: Heartbeat, timeout_ms: int
+    ) -> Result[Heartbeat, Failure]:
         """Exchange heartbeats with a peer."""
 
     def heartbeat_all(
         self,
-        beats_by_address: Mapping[str, Beat],
+        heartbeats_by_address: Mapping[str, Heartbeat],
         timeout_ms: int,
-        on_answer: Callable[[str, Beat], None],
+        on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
         """Exchange heartbeats with many peers at once.
 
@@ -59,7 +59,7 @@
 class PeerHandler(Protocol):
     """What an entry instance does for its peers."""
 
-    def heartbeat(self, beat: Beat) -> Beat:
+    def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
         """Take in a peer's heartbeat and return the own one."""
 
     def forward(
--- a/src/magnoliapitch/peer/message.py
+++ b/src/magnoliapitch/peer/message.py
@@ -52,7 +52,7 @@
     age_ms: int
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """One heartbeat.
 
     :param next_offset: offset of the next log record to apply.
--- a/src/magnoliapitch/peer/node.py
+++ b/src/magnoliapitch/peer/node.py
@@ -21,9 +21,9 @@
 from result import Result
 
 from magnoliapitch.peer import codec
-from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.message import LogPage
 from magnoliapitch.peer.message import StateSnapshot
 from magnoliapitch.supervisor.exceptions import StartError
@@ -45,27 +45,27 @@
 ValueT = TypeVar("ValueT")
 
 START_TIMEOUT_S = 10
-FORWARD_THREADS = 64
+MAX_FORWARD_THREADS = 64
 
 
 class _Server(codec.schema.Peer.Server):  # type: ignore[misc]
     def __init__(
-        self, handler: PeerHandler, threads: ThreadPoolExecutor
+        self, handler: PeerHandler, executor: ThreadPoolExecutor
     ) -> None:
         self._handler = handler
-        self._threads = threads
+        self._executor = executor
 
     async def heartbeat(self, beat: Any, **_: Any) -> Any:
-        answer = self._handler.heartbeat(codec.beat_from(beat))
-        return codec.schema.Beat.new_message(**codec.beat_to_dict(answer))
+        answer = self._handler.heartbeat(codec.heartbeat_from(beat))
+        return codec.schema.Beat.new_message(**codec.heartbeat_to_dict(answer))
 
     async def forward(self, request: Any, **_: Any) -> Any:
-        plain = codec.request_from(request)
+        forwarded = codec.request_from(request)
         loop = asyncio.get_running_loop()
         outcome = await loop.run_in_executor(
-            self._threads, self._handler.forward, plain
+            self._executor, self._handler.forward, forwarded
         )
-        fields = codec.answer_to_dict(plain.request_id, outcome)
+        fields = codec.answer_to_dict(forwarded.request_id, outcome)
         return codec.schema.Answer.new_message(**fields)
 
     async def readLog(  # noqa: N802
@@ -84,17 +84,19 @@
     async def snapshot(self, _context: Any, **_: Any) -> None:
         loop = asyncio.get_running_loop()
         snapshot = await loop.run_in_executor(
-            self._threads, self._handler.snapshot
+            self._executor, self._handler.snapshot
         )
         _context.results.offset = snapshot.offset
         _context.results.digest = snapshot.digest
         _context.results.state = snapshot.state
 
 
-def _heartbeat_call(beat: Beat) -> Callable[[Any], Awaitable[Beat]]:
-    async def call(peer: Any) -> Beat:
-        answer = await peer.heartbeat(beat=codec.beat_to_dict(beat))
-        return codec.beat_from(answer.beat)
+def _heartbeat_call(
+    heartbeat: Heartbeat,
+) -> Callable[[Any], Awaitable[Heartbeat]]:
+    async def call(peer: Any) -> Heartbeat:
+        answer = await peer.heartbeat(beat=codec.heartbeat_to_dict(heartbeat))
+        return codec.heartbeat_from(answer.beat)
 
     return call
 
@@ -111,11 +113,13 @@
     def __init__(self, address: tuple[str, int]) -> None:
         self._address = address
         self.handler: PeerHandler | None = None
-        self._threads = ThreadPoolExecutor(FORWARD_THREADS, "peer-forward")
-        self._caps_by_address: dict[str, Any] = {}
+        self._executor = ThreadPoolExecutor(
+            MAX_FORWARD_THREADS, "peer-forward"
+        )
+        self._peers_by_address: dict[str, Any] = {}
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._stopping: asyncio.Event | None = None
-        self._ready = threading.Event()
+        self._stop_event: asyncio.Event | None = None
+        self._started = threading.Event()
         self._start_error: Exception | None = None
         self._thread: threading.Thread | None = None
         self.port = address[1]
@@ -125,13 +129,13 @@
 
         :raises StartError: if the address cannot be bound.
         """
-        self._ready.clear()
+        self._started.clear()
         self._start_error = None
         self._thread = threading.Thread(
             target=self._run, name=self.name, daemon=True
         )
         self._thread.start()
-        self._ready.wait(START_TIMEOUT_S)
+        self._started.wait(START_TIMEOUT_S)
         if self._start_error is not None:
             host, port = self._address
             reason = f"cannot listen on {host}:{port}: {self._start_error}"
@@ -139,40 +143,40 @@
 
     def stop(self) -> None:
         """Close every connection and end the thread."""
-        if self._loop is not None and self._stopping is not None:
-            self._loop.call_soon_threadsafe(self._stopping.set)
+        if self._loop is not None and self._stop_event is not None:
+            self._loop.call_soon_threadsafe(self._stop_event.set)
         if self._thread is not None:
             self._thread.join()
-        self._threads.shutdown(wait=False)
+        self._executor.shutdown(wait=False)
 
     def is_alive(self) -> bool:
         """Return whether the loop's thread runs."""
         return self._thread is not None and self._thread.is_alive()
 
     def heartbeat(
-        self, address: str, beat: Beat, timeout_ms: int
-    ) -> Result[Beat, Failure]:
+        self, address: str, heartbeat: Heartbeat, timeout_ms: int
+    ) -> Result[Heartbeat, Failure]:
         """Exchange heartbeats with a peer."""
-        return self._call(address, _heartbeat_call(beat), timeout_ms)
+        return self._call(address, _heartbeat_call(heartbeat), timeout_ms)
 
     def heartbeat_all(
         self,
-        beats_by_address: Mapping[str, Beat],
+        heartbeats_by_address: Mapping[str, Heartbeat],
         timeout_ms: int,
-        on_answer: Callable[[str, Beat], None],
+        on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
         """Exchange heartbeats with many peers at once."""
 
-        async def exchange(address: str, beat: Beat) -> None:
+        async def exchange(address: str, heartbeat: Heartbeat) -> None:
             outcome = await self._call_in_loop(
-                address, _heartbeat_call(beat), timeout_ms
+                address, _heartbeat_call(heartbeat), timeout_ms
             )
             if isinstance(outcome, Ok):
                 on_answer(address, outcome.ok_value)
 
         async def exchange_all() -> None:
             await asyncio.gather(
-                *(exchange(*item) for item in beats_by_address.items())
+                *(exchange(*item) for item in heartbeats_by_address.items())
             )
 
         future = self._submit(exchange_all())
@@ -256,13 +260,13 @@
             async with asyncio.timeout(timeout_ms / 1000):
                 return Ok(await call(peer))
         except (capnp.KjException, TimeoutError) as error:
-            self._caps_by_address.pop(address, None)
+            self._peers_by_address.pop(address, None)
             return Err(may_have_run(FailureCode.TIMEOUT, str(error)))
         except ValueError as error:
             return Err(may_have_run(FailureCode.BAD_ANSWER, str(error)))
 
     async def _connect(self, address: str) -> Any:
-        peer = self._caps_by_address.get(address)
+        peer = self._peers_by_address.get(address)
         if peer is None:
             host, _, port = address.rpartition(":")
             stream = await capnp.AsyncIoStream.create_connection(
@@ -270,7 +274,7 @@
             )
             client = capnp.TwoPartyClient(stream)
             peer = client.bootstrap().cast_as(codec.schema.Peer)
-            self._caps_by_address[address] = peer
+            self._peers_by_address[address] = peer
         return peer
 
     def _run(self) -> None:
@@ -278,24 +282,24 @@
             asyncio.run(self._serve())
         except (OSError, capnp.KjException) as error:
             self._start_error = error
-            self._ready.set()
+            self._started.set()
 
     async def _serve(self) -> None:
         async with capnp.kj_loop():
             self._loop = asyncio.get_running_loop()
-            self._stopping = asyncio.Event()
+            self._stop_event = asyncio.Event()
             server = await capnp.AsyncIoStream.create_server(
                 self._accept, *self._address
             )
             self.port = server.sockets[0].getsockname()[1]
             serving = asyncio.create_task(server.serve_forever())
-            self._ready.set()
-            await self._stopping.wait()
+            self._started.set()
+            await self._stop_event.wait()
             serving.cancel()
             server.close()
-            self._caps_by_address.clear()
+            self._peers_by_address.clear()
 
     async def _accept(self, stream: Any) -> None:
         assert self.handler is not None
-        bootstrap = _Server(self.handler, self._threads)
+        bootstrap = _Server(self.handler, self._executor)
         await capnp.TwoPartyServer(stream, bootstrap=bootstrap).on_disconnect()
--- a/src/magnoliapitch/request/dispatch_fence.py
+++ b/src/magnoliapitch/request/dispatch_fence.py
@@ -130,8 +130,8 @@
         live_neighbours = [
             peer
             for peer in neighbours
-            if peer.heard_ms >= 0
-            and now_ms - peer.heard_ms <= FENCING_TIMEOUT_MS
+            if peer.last_heartbeat_ms >= 0
+            and now_ms - peer.last_heartbeat_ms <= FENCING_TIMEOUT_MS
         ]
         # A neighbour that has read more of the log may have seen a takeover.
         return bool(live_neighbours) and all(
--- a/src/magnoliapitch/request/peer_selector.py
+++ b/src/magnoliapitch/request/peer_selector.py
@@ -78,11 +78,11 @@
     def note_forwarded(self, candidate: Candidate) -> None:
         """Count a request forwarded since the peer's last heartbeat."""
         with self._lock:
-            heard_ms, used_slots = self._used_slots_by_peer.get(
+            last_heartbeat_ms, used_slots = self._used_slots_by_peer.get(
                 candidate.incarnation, (-1, 0)
             )
             self._used_slots_by_peer[candidate.incarnation] = (
-                heard_ms,
+                last_heartbeat_ms,
                 used_slots + 1,
             )
 
@@ -156,9 +156,9 @@
     def _reset_used_slots(self, peer: PeerStatus) -> None:
         with self._lock:
             known = self._used_slots_by_peer.get(peer.join.incarnation)
-            if known is None or known[0] != peer.heard_ms:
+            if known is None or known[0] != peer.last_heartbeat_ms:
                 self._used_slots_by_peer[peer.join.incarnation] = (
-                    peer.heard_ms,
+                    peer.last_heartbeat_ms,
                     0,
                 )
 
--- a/src/magnoliapitch/standin/peer.py
+++ b/src/magnoliapitch/standin/peer.py
@@ -20,9 +20,9 @@
     from result import Result
 
     from magnoliapitch.peer.link import PeerHandler
-    from magnoliapitch.peer.message import Beat
     from magnoliapitch.peer.message import ForwardedAnswer
     from magnoliapitch.peer.message import ForwardedRequest
+    from magnoliapitch.peer.message import Heartbeat
     from magnoliapitch.peer.message import LogPage
     from magnoliapitch.peer.message import StateSnapshot
     from magnoliapitch.verdict import Failure
@@ -64,9 +64,9 @@
     def heartbeat(
         self,
         address: str,
-        beat: Beat,
+        beat: Heartbeat,
         timeout_ms: int,  # noqa: ARG002
-    ) -> Result[Beat, Failure]:
+    ) -> Result[Heartbeat, Failure]:
         """Exchange heartbeats with a peer."""
         reached = self._network.reach(self._address, address)
         answer = reached.map(lambda handler: handler.heartbeat(beat))
@@ -74,9 +74,9 @@
 
     def heartbeat_all(
         self,
-        beats_by_address: Mapping[str, Beat],
+        beats_by_address: Mapping[str, Heartbeat],
         timeout_ms: int,
-        on_answer: Callable[[str, Beat], None],
+        on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
         """Exchange heartbeats with many peers, one after another."""
         for address, beat in beats_by_address.items():
--- a/tests/api/test_job_advice.py
+++ b/tests/api/test_job_advice.py
@@ -75,7 +75,7 @@
 
     wait_until(is_claimed)
     wait_until(
-        lambda: core.desk.choose_unit(
+        lambda: core.job_service.choose_unit(
             JobSpec("j", "term-roster", 1, SMALL)
         ).ok()
     )
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -119,7 +119,7 @@
     scene.network.cuts |= {(other, actor.address) for other in others}
     scene.run(2 * BOUND_MS, TICK_MS)
     assert owner_of_by_log(scene) != owner
-    phases = actor.core.jobs.dump()["workers"]
+    phases = actor.core.job_manager.dump()["workers"]
     assert isinstance(phases, dict)
     assert set(phases.values()) == {"yielded"}
     actor.outside.log_away = False
@@ -173,7 +173,8 @@
     again = {item.lease_id for item in starts_after(scene, died_ms)}
     assert not again
     running = [
-        actor.core.jobs.dump()["running"] for actor in scene.actors.values()
+        actor.core.job_manager.dump()["running"]
+        for actor in scene.actors.values()
     ]
     assert any(running)
     finish(scene)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -13,9 +13,9 @@
 from magnoliapitch.membership import Membership
 from magnoliapitch.membership.instance import InstanceState
 from magnoliapitch.membership.presence import GONE_AFTER_MS
-from magnoliapitch.membership.topology import REMOTE_LINKS
+from magnoliapitch.membership.topology import MAX_REMOTE_LINKS
 from magnoliapitch.membership.topology import linked_members
-from magnoliapitch.peer.message import Beat
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.node import PeerNode
 from magnoliapitch.standin import StandinLog
 from magnoliapitch.standin.peer import StandinLink
@@ -28,8 +28,8 @@
 
 
 class HeartbeatHandler(Membership):
-    def heartbeat(self, beat: Beat) -> Beat:
-        return self.receive(beat)
+    def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
+        return self.handle_heartbeat(heartbeat)
 
 
 def joins_of(zones: int, per_zone: int) -> list[EntryJoin]:
@@ -46,7 +46,7 @@
         for own in members:
             others = [item for item in members if item != own]
             linked = linked_members(own, others, ())
-            assert len(linked) == 6 + REMOTE_LINKS
+            assert len(linked) == 6 + MAX_REMOTE_LINKS
 
 
 def test_links_connect_all_zones_and_avoid_failing_members() -> None:
@@ -205,10 +205,10 @@
     original = StandinLink.heartbeat
 
     def count(
-        link: StandinLink, address: str, beat: Beat, timeout_ms: int
+        link: StandinLink, address: str, heartbeat: Heartbeat, timeout_ms: int
     ) -> object:
-        sent[beat.instance_id] = sent.get(beat.instance_id, 0) + 1
-        return original(link, address, beat, timeout_ms)
+        sent[heartbeat.instance_id] = sent.get(heartbeat.instance_id, 0) + 1
+        return original(link, address, heartbeat, timeout_ms)
 
     monkeypatch.setattr(StandinLink, "heartbeat", count)
     counts = []
@@ -236,8 +236,12 @@
     with socket.create_server(("127.0.0.1", 0)) as silent:
         addresses = [f"127.0.0.1:{silent.getsockname()[1]}"]
         addresses += [f"127.0.0.1:{peer.port}", "not an address"]
-        beats = dict.fromkeys(addresses, Beat("a", "a", "norte", 0, 0))
-        node.heartbeat_all(beats, 500, lambda at, beat: heard.append(at))
+        heartbeats = dict.fromkeys(
+            addresses, Heartbeat("a", "a", "norte", 0, 0)
+        )
+        node.heartbeat_all(
+            heartbeats, 500, lambda at, heartbeat: heard.append(at)
+        )
     node.stop()
     peer.stop()
     assert heard == [addresses[1]]
--- a/tests/request/test_dispatch_fence.py
+++ b/tests/request/test_dispatch_fence.py
@@ -102,6 +102,6 @@
     first, second = cell.cores
     _advance(cell, FENCING_TIMEOUT_MS + 1)
     second.journal.follow_step()
-    first.heartbeat(second.membership.beat())
+    first.heartbeat(second.membership.own_heartbeat())
     assert not _may_use_unit(first)
     assert not _may_use_unit(second)
