--- a/src/magnoliapitch/membership/__init__.py
+++ b/src/magnoliapitch/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which entry instances exist and how fresh that knowledge is."""
+"""Discovery and failure detection of entry instances."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/membership/contact.py
+++ b/src/magnoliapitch/membership/contact.py
@@ -1,4 +1,4 @@
-"""What was heard of one incarnation, directly and through others."""
+"""Times of the last messages to and from one incarnation."""
 
 from __future__ import annotations
 
@@ -14,16 +14,20 @@
 
 
 class Contact:
-    """Newest news of one incarnation.
-
-    Both directions are noted apart: in a one-way cut a peer can be heard
-    that does not hear this instance.
-
-    :ivar heartbeat: newest heartbeat received from it.
-    :ivar last_heartbeat_ms: local time at which that arrived.
-    :ivar last_delivered_ms: local time at which it surely heard this instance.
-    :ivar last_relayed_ms: local time at which any instance heard it.
-    :ivar last_called_ms: local time of the last call to it.
+    """Liveness of one incarnation, as seen by this instance.
+
+    The two directions are tracked separately: in a one-way network
+    partition, heartbeats of a peer may arrive while it receives none from
+    this instance. All times are in milliseconds of the local clock.
+
+    :ivar heartbeat: newest heartbeat received from the peer.
+    :ivar last_heartbeat_ms: when that heartbeat arrived.
+    :ivar last_delivered_ms: newest time at which the peer is known to have
+        received a message of this instance.
+    :ivar last_relayed_ms: newest time at which another instance reports to
+        have heard the peer.
+    :ivar last_called_ms: when this instance last called the peer.
+    :ivar next_offset: highest next log offset reported for the peer.
     """
 
     def __init__(self) -> None:
@@ -37,7 +41,10 @@
     def record_heartbeat(
         self, heartbeat: Heartbeat, now_ms: int, own_incarnation: str
     ) -> None:
-        """Note a heartbeat; it tells when the sender heard this one."""
+        """Record a heartbeat from the peer.
+
+        Its member list may tell when the peer last heard this instance.
+        """
         self.heartbeat = heartbeat
         self.last_heartbeat_ms = now_ms
         self.next_offset = max(self.next_offset, heartbeat.next_offset)
@@ -49,7 +56,7 @@
                 )
 
     def record_relayed(self, member: MemberInfo, now_ms: int) -> None:
-        """Note what another instance has heard of it."""
+        """Record what another instance reports about the peer."""
         self.last_relayed_ms = max(
             self.last_relayed_ms, now_ms - member.age_ms
         )
@@ -57,20 +64,20 @@
 
     @property
     def was_seen(self) -> bool:
-        """Whether there was any sign of life."""
+        """Whether the peer was ever heard, directly or through others."""
         return self.last_seen_ms > NEVER_MS
 
     @property
     def was_called(self) -> bool:
-        """Whether this instance has called it."""
+        """Whether this instance has ever called the peer."""
         return self.last_called_ms > NEVER_MS
 
     @property
     def last_two_way_ms(self) -> int:
-        """Local time up to which both directions surely worked."""
+        """Newest local time at which both directions are known to work."""
         return min(self.last_heartbeat_ms, self.last_delivered_ms)
 
     @property
     def last_seen_ms(self) -> int:
-        """Local time of the newest sign of life."""
+        """Newest local time at which any instance heard the peer."""
         return max(self.last_heartbeat_ms, self.last_relayed_ms)
--- a/src/magnoliapitch/membership/fleet.py
+++ b/src/magnoliapitch/membership/fleet.py
@@ -1,4 +1,4 @@
-"""The newest known list of instances."""
+"""Local cache of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -25,10 +25,12 @@
 
 
 class Fleet:
-    """Caches the platform's list; keeps the last one during outages.
+    """Cached instance list, indexed by id, role and zone.
+
+    While the platform cannot be reached, the last list stays in use.
 
     :ivar is_fresh: whether the last refresh succeeded.
-    :ivar generation: increases whenever the list has changed.
+    :ivar generation: counter that increases with each change of the list.
     """
 
     def __init__(self, instance_list: InstanceList) -> None:
@@ -41,7 +43,10 @@
         self._was_fresh: bool | None = None
 
     def refresh_step(self) -> int:
-        """Fetch the list; return milliseconds until the next refresh."""
+        """Fetch the list.
+
+        :return: milliseconds until the next refresh.
+        """
         outcome = self._instance_list.instances()
         self._record_outcome(outcome)
         if not isinstance(outcome, Err):
@@ -49,13 +54,13 @@
         return REFRESH_INTERVAL_MS
 
     def get(self, instance_id: str) -> InstanceInfo | None:
-        """Return one instance."""
+        """Return the listed instance with an id, or None."""
         return self._by_id.get(instance_id)
 
     def of_role(
         self, role: InstanceRole, zone: str = EVERY_ZONE
     ) -> tuple[InstanceInfo, ...]:
-        """Return instances of a role, of one zone if it is given."""
+        """Return the instances of a role, in one zone or in all."""
         return self._by_role_and_zone.get((role, zone), ())
 
     def _update(self, listed: tuple[InstanceInfo, ...]) -> None:
--- a/src/magnoliapitch/membership/http_instance_list.py
+++ b/src/magnoliapitch/membership/http_instance_list.py
@@ -1,4 +1,4 @@
-"""Adapter to an instance list that speaks HTTP and JSON.
+"""Adapter that fetches the instance list as JSON over HTTP.
 
 ``GET /instances`` answers ``{"instances": [...]}`` with the fields of
 :class:`~magnoliapitch.membership.instance.InstanceInfo`.
@@ -24,7 +24,7 @@
 
 
 class InstanceListResponse(TypedDict):
-    """Answer of the instance list."""
+    """JSON body of the response to ``GET /instances``."""
 
     instances: tuple[InstanceInfo, ...]
 
@@ -33,13 +33,16 @@
 
 
 class HttpInstanceList:
-    """The platform's list of instances over HTTP."""
+    """Client of the platform's instance list.
+
+    :param url: base URL of the instance list.
+    """
 
     def __init__(self, url: str) -> None:
         self._client = JsonClient(url)
 
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
-        """Return every listed instance."""
+        """Fetch all listed instances."""
         answer = self._client.call("GET", "/instances")
         listed = answer.and_then(
             lambda value: validate_response(_ADAPTER, value)
--- a/src/magnoliapitch/membership/identity.py
+++ b/src/magnoliapitch/membership/identity.py
@@ -8,9 +8,11 @@
 
 
 class Identity(NamedTuple):
-    """Names one run of an entry instance.
+    """Identifies one run of an entry instance.
 
-    :param incarnation: unique to this run; a restart gets another.
+    :param instance_id: name of the instance, the same after a restart.
+    :param incarnation: id of this run; each restart creates a new one.
+    :param zone: availability zone.
     :param peer_address: ``IP:PORT`` of the peer listener.
     """
 
--- a/src/magnoliapitch/membership/instance.py
+++ b/src/magnoliapitch/membership/instance.py
@@ -18,7 +18,7 @@
 
 
 class InstanceRole(StrEnum):
-    """What an instance does."""
+    """Kind of work that an instance does."""
 
     ENTRY = "entry"
     WORKER = "worker"
@@ -26,7 +26,7 @@
 
 
 class InstanceState(StrEnum):
-    """State of an instance as the platform last saw it."""
+    """State of an instance as the platform last reported it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -38,14 +38,14 @@
     :param instance_id: unique name of the instance.
     :param role: what the instance does.
     :param zone: availability zone.
-    :param url: base address with an IP number, ``http://IP:PORT/PATH``;
-        of an entry ``IP:PORT`` of its peer listener.
-    :param state: live or leaving.
+    :param url: base URL with an IP address, ``http://IP:PORT/PATH``; for
+        an entry instance ``IP:PORT`` of its peer listener.
+    :param state: live, or about to leave.
     :param unit: rack of a worker or group of a backend server.
     :param app: application of a backend server.
-    :param capacity: resources of a worker.
-    :param slots: requests a backend server executes at once.
-    :param connections: connections a backend server accepts.
+    :param capacity: total resources of a worker.
+    :param slots: number of requests a backend server executes at once.
+    :param connections: number of connections a backend server accepts.
     """
 
     instance_id: str
@@ -61,7 +61,7 @@
 
 
 class InstanceList(Protocol):
-    """List of live and leaving instances; it lags behind reality."""
+    """Source of the live and leaving instances, possibly out of date."""
 
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
-        """Return every listed instance."""
+        """Return all listed instances."""
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats between entry instances and what they show."""
+"""Heartbeats between entry instances and the states they reveal."""
 
 from __future__ import annotations
 
@@ -35,12 +35,15 @@
 
 
 class Membership:
-    """Exchanges heartbeats with the zone and a few peers elsewhere.
+    """Exchanges heartbeats with the own zone and a few remote peers.
 
-    The journal's lock is never taken inside the own one.
+    Lock order: the journal's lock is never acquired while this object's
+    lock is held.
 
+    :param fleet: lists the entry instances to contact, if there is one.
+    :param seed_addresses: ``IP:PORT`` of peers to contact even if not listed.
     :ivar loads: free capacity of the own units, sent with heartbeats.
-    :ivar leaving: whether this instance is going to stop.
+    :ivar leaving: whether this instance is about to stop.
     :ivar completed_rounds: rounds of heartbeats since the first peer answered.
     """
 
@@ -68,11 +71,11 @@
     def own_heartbeat(
         self, recipient: str = "", *, whole_zone: bool = False
     ) -> Heartbeat:
-        """Return the own heartbeat.
+        """Build a heartbeat of this instance.
 
-        :param recipient: incarnation that it is for; it learns when this
-            instance heard it last.
-        :param whole_zone: whether to name every member of the own zone.
+        :param recipient: incarnation of the receiver; the heartbeat tells it
+            when this instance last heard it.
+        :param whole_zone: whether to list every member of the own zone.
         """
         next_offset = self._journal.next_offset
         own_zone = self._zone_info(next_offset, self._zone_peers())
@@ -96,14 +99,14 @@
             )
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Take in a peer's heartbeat and return the own one."""
+        """Record a peer's heartbeat and return the own one as answer."""
         self._record_heartbeat(heartbeat)
         return self.own_heartbeat(
             heartbeat.incarnation, whole_zone=not heartbeat.complete
         )
 
     def heartbeat_step(self, link: PeerLink) -> int:
-        """Exchange heartbeats with all that are due, at the same time.
+        """Exchange heartbeats with all peers that are due, concurrently.
 
         :return: milliseconds until the next round.
         """
@@ -121,11 +124,11 @@
         return max(HEARTBEAT_INTERVAL_MS - elapsed_ms, 1)
 
     def peers(self) -> tuple[PeerStatus, ...]:
-        """Return every other member that is not gone."""
+        """Return the status of every other member that has not left."""
         return self._statuses(self._joins())
 
     def live_in_zone(self, zone: str = "") -> tuple[PeerStatus, ...]:
-        """Return the live peers of a zone, by default the own one."""
+        """Return the live peers in a zone, by default in the own zone."""
         wanted = zone or self.identity.zone
         return tuple(
             peer
@@ -134,7 +137,7 @@
         )
 
     def state_of(self, incarnation: str) -> MemberState:
-        """Return the state of any incarnation, also the own one."""
+        """Return the state of an incarnation; the own one is allowed too."""
         if incarnation == self.identity.incarnation:
             return MemberState.LEAVING if self.leaving else MemberState.LIVE
         for peer in self.peers():
@@ -143,7 +146,7 @@
         return MemberState.GONE
 
     def is_superseded(self) -> bool:
-        """Return whether the log names this incarnation as gone."""
+        """Return whether the log records that this incarnation has left."""
         with self._journal.reading() as state:
             own = state.members_by_incarnation.get(self.identity.incarnation)
             return own is not None and own.left
@@ -167,7 +170,7 @@
         return applied_everywhere(own, zone_reports, silent, zones)
 
     def reachable(self) -> tuple[tuple[PeerStatus, Heartbeat], ...]:
-        """Return the peers that hear and are heard, with their beats."""
+        """Return the live and leaving peers with their last heartbeats."""
         found = []
         for peer in self.peers():
             with self._lock:
@@ -179,7 +182,7 @@
         return tuple(found)
 
     def dump(self) -> dict[str, object]:
-        """Return the membership's part of the state dump."""
+        """Return the ``membership`` section of the state dump."""
         return {
             "identity": self.identity._asdict(),
             "is_superseded": self.is_superseded(),
@@ -206,7 +209,7 @@
             )
 
     def _zone_peers(self) -> tuple[PeerStatus, ...]:
-        """Return the peers of the own zone."""
+        """Return the status of the peers in the own zone."""
         zone = self.identity.zone
         return self._statuses(
             [join for join in self._joins() if join.zone == zone]
@@ -218,7 +221,10 @@
             return tuple(self._table.status(join, now_ms) for join in joins)
 
     def _joins(self) -> list[EntryJoin]:
-        """Return the other members, from the log and from heartbeats."""
+        """Return the join records of the other members.
+
+        They come from the log and from heartbeats.
+        """
         with self._journal.reading() as state:
             members = dict(state.members_by_incarnation)
         with self._lock:
@@ -232,7 +238,7 @@
         return list(joins.values())
 
     def _due_heartbeats(self, now_ms: int) -> dict[str, Heartbeat]:
-        """Return the heartbeats of this round by address."""
+        """Return the heartbeats to send in this round, by address."""
         with self._journal.reading() as state:
             members = dict(state.members_by_incarnation)
         joins = self._joins()
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -1,4 +1,4 @@
-"""Keeps the members in the log true: presence and departures."""
+"""Log records of the own presence and of members that are gone."""
 
 from __future__ import annotations
 
@@ -30,13 +30,17 @@
 
 
 class MembershipRecorder:
-    """Appends the own presence, and leaves for members surely gone.
+    """Appends presence records, and leave records for members now gone.
 
-    A member is surely gone when the platform lists entries but not this
-    one, and it was neither heard nor has appended anything for long. If it
-    returns all the same, it finds its incarnation left and must join as
-    another one. Silence alone proves nothing: an instance that is cut from
-    its peers and from the log still serves.
+    A member is taken as gone if the platform lists entry instances but not
+    this one, and it has sent no heartbeat and appended no record for
+    ``GONE_AFTER_MS``, or ``REMOTE_GONE_AFTER_MS`` in another zone. If it
+    comes back nevertheless, the log shows that its incarnation has left,
+    so it must join under a new one. Silence alone isn't enough: an
+    instance that is partitioned from its peers and from the log still
+    serves requests.
+
+    :param on_superseded: called if the log says that this incarnation left.
     """
 
     def __init__(
@@ -58,7 +62,10 @@
         self._silence_by_incarnation: dict[str, tuple[int, int]] = {}
 
     def step(self) -> int:
-        """Append what is due; return milliseconds until the next step."""
+        """Append the records that are due.
+
+        :return: milliseconds until the next step.
+        """
         if self._membership.is_superseded():
             self._on_superseded()
             return CHECK_INTERVAL_MS
@@ -115,13 +122,19 @@
         return now_ms - known[0] >= gone_after_ms
 
     def _is_listed(self, instance_id: str) -> bool:
-        """Return whether the platform may still know an entry."""
+        """Return whether the platform may still list an entry instance.
+
+        An empty list says nothing about any instance.
+        """
         entries = self._fleet.of_role(InstanceRole.ENTRY)
         ids = {item.instance_id for item in entries}
         return not ids or instance_id in ids
 
     def _is_responsible(self, peer: PeerStatus) -> bool:
-        """Return whether this instance is the one of its zone to act."""
+        """Return whether this instance is to append a peer's leave record.
+
+        Among the live instances of each zone, a hash selects one.
+        """
         own = self._membership.identity.incarnation
         incarnations = [
             item.join.incarnation for item in self._membership.live_in_zone()
--- a/src/magnoliapitch/membership/progress.py
+++ b/src/magnoliapitch/membership/progress.py
@@ -1,4 +1,4 @@
-"""Up to which offset every live instance has applied the log."""
+"""Log offset up to which every live instance has applied the log."""
 
 from __future__ import annotations
 
@@ -20,11 +20,13 @@
 
 
 class AppliedEverywhere(NamedTuple):
-    """How far the log is in force.
+    """Part of the log that all instances have applied.
 
-    :param next_offset: every live instance has applied what is below.
-    :param slowest: instances with that offset.
-    :param unknown: instances and zones that may be behind it.
+    :param next_offset: every live instance has applied all records below
+        this offset.
+    :param slowest: ids of the instances at exactly this offset, one for
+        each zone that has any.
+    :param unknown: instances and zones that may be behind this offset.
     """
 
     next_offset: int
@@ -32,7 +34,7 @@
     unknown: tuple[str, ...]
 
     def covers(self, offset: int) -> bool:
-        """Return whether a record is in force on every instance."""
+        """Return whether every instance has applied a record."""
         return offset < self.next_offset and not self.unknown
 
 
@@ -42,7 +44,12 @@
     own_offset: int,
     peers: Collection[PeerStatus],
 ) -> ZoneInfo:
-    """Return how far the own zone is, from the direct heartbeats."""
+    """Build the own zone's report from the heartbeats of its members.
+
+    :param own_id: id of this instance.
+    :param own_offset: next log offset of this instance.
+    :param peers: status of the other members of the zone.
+    """
     offsets = {own_id: own_offset}
     silent = 0
     for peer in peers:
@@ -60,11 +67,12 @@
     silent_ids: Collection[str],
     zones: Collection[str],
 ) -> AppliedEverywhere:
-    """Combine the zones' reports.
+    """Combine the reports of all zones.
 
-    :param others: newest report of each other zone, aged.
-    :param silent_ids: silent instances of the own zone.
-    :param zones: every zone with members.
+    :param own: report of the own zone.
+    :param others: newest report of each other zone with its age.
+    :param silent_ids: instances of the own zone that do not respond.
+    :param zones: all zones that have members.
     """
     reports = [own]
     unknown = list(silent_ids)
--- a/src/magnoliapitch/membership/relay.py
+++ b/src/magnoliapitch/membership/relay.py
@@ -1,4 +1,4 @@
-"""Follows the log through peers."""
+"""Reads the log through peers while it cannot be read directly."""
 
 from __future__ import annotations
 
@@ -32,7 +32,10 @@
 
 
 class PeerLogSource:
-    """Asks the peers that heartbeats show to be ahead, the best first."""
+    """Fetches log records and snapshots from peers that are ahead.
+
+    Peers with the highest offset in their heartbeats are tried first.
+    """
 
     def __init__(self, membership: Membership, link: PeerLink) -> None:
         self._membership = membership
@@ -41,7 +44,11 @@
     def read_log(
         self, from_offset: int, limit: int
     ) -> Result[LogPage, Failure]:
-        """Return records from a peer that is ahead of an offset."""
+        """Fetch records from a peer that has applied a given offset.
+
+        :param from_offset: offset of the first record to return.
+        :param limit: maximum number of records.
+        """
         return self._call_peers_ahead(
             from_offset + 1,
             lambda peer: self._link.read_log(
@@ -50,7 +57,10 @@
         )
 
     def snapshot(self, min_offset: int) -> Result[StateSnapshot, Failure]:
-        """Return a state of at least an offset."""
+        """Fetch a snapshot of the state from a peer.
+
+        :param min_offset: lowest next offset that the peer must have.
+        """
         return self._call_peers_ahead(
             min_offset,
             lambda peer: self._link.snapshot(
@@ -59,10 +69,13 @@
         )
 
     def floor(self) -> int | None:
-        """Return the highest offset that any reachable peer has heard of.
+        """Return the highest offset that any reachable peer knows of.
+
+        The first peers to answer may name others that are further ahead,
+        so the result is only known after some rounds of heartbeats.
 
-        Peers are asked for some rounds first, since the first that answers
-        may name others that are ahead of it.
+        :return: None before these rounds, or while no reachable peer has
+            the complete history.
         """
         if self._membership.completed_rounds < MIN_ROUNDS_BEFORE_SERVING:
             return None
@@ -91,4 +104,9 @@
             answer = call(peer)
             if not isinstance(answer, Err):
                 return answer
-        return Err(not_run(FailureCode.UNAVAILABLE, "no peer is ahead"))
+        return Err(
+            not_run(
+                FailureCode.UNAVAILABLE,
+                f"no peer with next offset {min_offset} or higher answered",
+            )
+        )
--- a/src/magnoliapitch/membership/state.py
+++ b/src/magnoliapitch/membership/state.py
@@ -1,4 +1,4 @@
-"""States of a member."""
+"""States of an entry instance."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 
 
 class MemberState(StrEnum):
-    """What is known of another entry instance."""
+    """State of an entry instance as seen by another one.
+
+    ``JOINING`` members are in the log but were never heard; ``SUSPECT``
+    ones have had no recent contact in both directions. ``GONE`` ones have
+    left or are unknown.
+    """
 
     JOINING = "joining"
     LIVE = "live"
--- a/src/magnoliapitch/membership/status.py
+++ b/src/magnoliapitch/membership/status.py
@@ -1,4 +1,4 @@
-"""What other parts see of a peer."""
+"""Status of a peer for users of the membership."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 
 
 class PeerStatus(NamedTuple):
-    """What is known of another entry instance.
+    """Status of another entry instance.
 
-    :param next_offset: next log offset that it will apply.
-    :param last_heartbeat_ms: local time of its last heartbeat, -1 for never.
-    :param loads: free capacity of the units it owns.
-    :param is_one_way: whether it is heard but does not hear this one.
+    :param join: record with which the peer joined.
+    :param next_offset: offset of the next log record that it will apply.
+    :param last_heartbeat_ms: local time of its last heartbeat, -1 if none.
+    :param loads: free capacity of the units that it owns.
+    :param is_one_way: whether its heartbeats arrive while it receives none
+        from this instance.
     """
 
     join: EntryJoin
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -1,4 +1,4 @@
-"""Everything that heartbeats have told of other instances."""
+"""State of the other instances as collected from heartbeats."""
 
 from __future__ import annotations
 
@@ -28,20 +28,22 @@
 ItemT = TypeVar("ItemT")
 
 HEARTBEAT_INTERVAL_MS = 1_000
-REMOTE_HEARTBEAT_ROUNDS = 2
+REMOTE_HEARTBEAT_ROUNDS = 2  # rounds for one heartbeat to other zones
 SUSPECT_AFTER_MS = 2_500
 REMOTE_SUSPECT_AFTER_MS = 6_000
 RELAYED_SUSPECT_AFTER_MS = 15_000
 FORGET_AFTER_MS = 60_000
 MAX_GOSSIP_MEMBERS = 3
 MAX_GOSSIP_ZONES = 8
-AGE_MAX_MS = 2**32 - 1
+AGE_MAX_MS = 2**32 - 1  # ages are 32-bit integers in messages
 
 
 class MemberTable:
-    """Contacts and zone reports; its user holds a lock around each call.
+    """Liveness of all peers and the newest report of each zone.
 
-    :ivar seen_offset: highest next offset that anyone has heard of.
+    Not thread-safe: callers hold a lock around each call.
+
+    :ivar seen_offset: highest next log offset that any heartbeat named.
     """
 
     def __init__(self, identity: Identity, fleet: Fleet | None) -> None:
@@ -55,23 +57,23 @@
 
     @property
     def has_heard_peer(self) -> bool:
-        """Whether any peer was ever heard."""
+        """Whether any heartbeat has arrived from any peer."""
         return any(
             contact.heartbeat is not None
             for contact in self._contacts_by_incarnation.values()
         )
 
     def contact(self, incarnation: str) -> Contact:
-        """Return what is known of an incarnation."""
+        """Return the liveness of an incarnation, creating it if needed."""
         return self._contacts_by_incarnation.setdefault(incarnation, Contact())
 
     def record_heartbeat(
         self, heartbeat: Heartbeat, now_ms: int, delivered_ms: int | None
     ) -> None:
-        """Take in a heartbeat.
+        """Record a heartbeat and all that it reports of others.
 
-        :param delivered_ms: when the sender heard this instance, if the
-            heartbeat answers one.
+        :param delivered_ms: local time at which this instance sent the
+            heartbeat that this one answers, or None.
         """
         if heartbeat.incarnation == self._identity.incarnation:
             return
@@ -96,13 +98,15 @@
             self._record_report(report, now_ms)
 
     def joins(self) -> dict[str, EntryJoin]:
-        """Return who was heard of, by incarnation."""
+        """Return the join records of all known peers, by incarnation."""
         return dict(self._joins_by_incarnation)
 
     def forget(self, members: Mapping[str, Member], now_ms: int) -> None:
-        """Drop who has left, and strangers that are silent.
+        """Drop peers that have left or are silent for too long.
+
+        Silent members of the log keep their liveness entry.
 
-        :param members: incarnations that the log names.
+        :param members: members in the log, by incarnation.
         """
         for incarnation, contact in tuple(
             self._contacts_by_incarnation.items()
@@ -116,7 +120,7 @@
                 del self._contacts_by_incarnation[incarnation]
 
     def status(self, join: EntryJoin, now_ms: int) -> PeerStatus:
-        """Return what other parts see of a member."""
+        """Return the status of a member."""
         contact = self.contact(join.incarnation)
         heartbeat = contact.heartbeat
         return PeerStatus(
@@ -129,11 +133,12 @@
         )
 
     def is_due(self, join: EntryJoin, now_ms: int, round_number: int) -> bool:
-        """Return whether to call a member in this round.
+        """Return whether to send a member a heartbeat in this round.
 
-        One exchange serves both sides, so of a pair only one calls as
-        long as that works. Links between zones are used in every second
-        round.
+        Each call carries a heartbeat in both directions. Within a zone
+        only the instance with the lower incarnation calls, as long as its
+        calls succeed. Heartbeats to other zones are sent only every
+        second round. Failing links are tried in every round.
         """
         contact = self.contact(join.incarnation)
         silent_ms = now_ms - contact.last_two_way_ms
@@ -144,7 +149,10 @@
         return self._identity.incarnation < join.incarnation
 
     def failing(self, now_ms: int) -> set[str]:
-        """Return the incarnations that were called and did not answer."""
+        """Return the incarnations that were called without success.
+
+        These have had no two-way contact for ``REMOTE_SUSPECT_AFTER_MS``.
+        """
         return {
             incarnation
             for incarnation, contact in self._contacts_by_incarnation.items()
@@ -155,7 +163,12 @@
     def gossip(
         self, recipient: str, now_ms: int, *, whole_zone: bool
     ) -> tuple[MemberInfo, ...]:
-        """Return news of the addressee and of some others in turn."""
+        """Return what to tell a peer about itself and other members.
+
+        :param recipient: incarnation of the peer; comes first if known.
+        :param whole_zone: whether to include the whole own zone rather
+            than a few members that change with each call.
+        """
         incarnations = list(self._joins_by_incarnation)
         chosen = [
             incarnation
@@ -181,7 +194,7 @@
         ]
 
     def rotating_zone_reports(self, now_ms: int) -> list[ZoneInfo]:
-        """Return some reports of other zones, others with each turn."""
+        """Return a few reports of other zones, different with each call."""
         return _rotating_part(
             self.zone_reports(now_ms), MAX_GOSSIP_ZONES, next(self._rotation)
         )
--- a/src/magnoliapitch/membership/topology.py
+++ b/src/magnoliapitch/membership/topology.py
@@ -1,9 +1,9 @@
-"""Whom an instance exchanges heartbeats with.
+"""Selection of the peers that an instance exchanges heartbeats with.
 
-Within a zone everyone talks to everyone. Between zones an instance keeps
-a few links: one to the next zone in name order, which makes the zones a
-ring, and some to zones that a hash chooses. So its cost depends on the
-size of its zone only.
+Within a zone, all instances are connected to each other. Between zones,
+each instance has a few links: one to the next zone by name, so that the
+zones form a ring, and a few to zones selected by a hash. The number of
+links thus depends only on the size of the own zone.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def linked_zones(own: EntryJoin, zones: Collection[str]) -> tuple[str, ...]:
-    """Return the other zones that an instance keeps a link to."""
+    """Return the other zones to which an instance has a link."""
     others = sorted(zone for zone in set(zones) if zone != own.zone)
     if not others:
         return ()
@@ -41,7 +41,8 @@
 ) -> tuple[EntryJoin, ...]:
     """Return the members to exchange heartbeats with.
 
-    :param failing: incarnations that did not answer; others of their zone
+    :param members: all other members.
+    :param failing: incarnations that do not answer; others in their zone
         are preferred.
     """
     chosen = [item for item in members if item.zone == own.zone]
@@ -59,5 +60,5 @@
 
 
 def stable_hash(*parts: str) -> int:
-    """Return a hash that is the same on every instance."""
+    """Return a 64-bit hash that is the same on every instance."""
     return xxhash.xxh3_64_intdigest("/".join(parts).encode())
--- a/src/magnoliapitch/peer/codec.py
+++ b/src/magnoliapitch/peer/codec.py
@@ -1,4 +1,4 @@
-"""Translation between plain messages and Cap'n Proto ones."""
+"""Conversion between the Python messages and their Cap'n Proto form."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 schema: Any = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
-NO_RETRY_AFTER_MS = -1
+NO_RETRY_AFTER_MS = -1  # encodes a failure without a retry delay
 
 
 def heartbeat_to_dict(heartbeat: Heartbeat) -> dict[str, Any]:
@@ -49,7 +49,7 @@
 
 
 def heartbeat_from(reader: Any) -> Heartbeat:
-    """Return the heartbeat that a Cap'n Proto reader holds."""
+    """Decode a heartbeat from a Cap'n Proto reader."""
     return Heartbeat(
         reader.instanceId,
         reader.incarnation,
@@ -79,7 +79,7 @@
 
 
 def request_from(reader: Any) -> ForwardedRequest:
-    """Return the request that a Cap'n Proto reader holds."""
+    """Decode a forwarded request from a Cap'n Proto reader."""
     return ForwardedRequest(
         reader.requestId,
         reader.entry,
@@ -93,7 +93,10 @@
 def answer_to_dict(
     request_id: str, outcome: Result[ForwardedAnswer, Failure]
 ) -> dict[str, Any]:
-    """Return the Cap'n Proto fields of an answer."""
+    """Return the Cap'n Proto fields of an answer or a failure.
+
+    :param request_id: id of the request, used if it failed.
+    """
     if isinstance(outcome, Ok):
         answer = outcome.ok_value
         return {
@@ -117,7 +120,10 @@
 
 
 def answer_from(reader: Any) -> Result[ForwardedAnswer, Failure]:
-    """Return the answer that a Cap'n Proto reader holds."""
+    """Decode an answer or a failure from a Cap'n Proto reader.
+
+    :raises ValueError: if the verdict or the failure code is unknown.
+    """
     if not reader.verdict:
         return Ok(
             ForwardedAnswer(
@@ -139,7 +145,7 @@
 
 
 def page_to_dict(page: LogPage) -> dict[str, Any]:
-    """Return the Cap'n Proto fields of relayed log records."""
+    """Return the Cap'n Proto fields of a page of log records."""
     return {
         "records": [
             {"offset": record.offset, "data": record.data}
@@ -151,7 +157,7 @@
 
 
 def page_from(reader: Any) -> LogPage:
-    """Return the log records that a Cap'n Proto reader holds."""
+    """Decode a page of log records from a Cap'n Proto reader."""
     return LogPage(
         tuple(
             LogRecord(item.offset, bytes(item.data)) for item in reader.records
--- a/src/magnoliapitch/peer/link.py
+++ b/src/magnoliapitch/peer/link.py
@@ -1,4 +1,4 @@
-"""How an entry instance reaches its peers."""
+"""Interfaces for calls to peers and for serving their calls."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class PeerLink(Protocol):
-    """Calls to peers by their ``IP:PORT`` address; safe from any thread."""
+    """Client for calls to peers, addressed by ``IP:PORT``; thread-safe."""
 
     def heartbeat(
         self, address: str, heartbeat: Heartbeat, timeout_ms: int
     ) -> Result[Heartbeat, Failure]:
-        """Exchange heartbeats with a peer."""
+        """Send a heartbeat and return the peer's."""
 
     def heartbeat_all(
         self,
@@ -34,41 +34,49 @@
         timeout_ms: int,
         on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
-        """Exchange heartbeats with many peers at once.
+        """Send heartbeats to many peers concurrently.
 
-        :param on_answer: is called with the address and the answer of each
-            peer as soon as it arrives.
+        :param on_answer: called with a peer's address and its heartbeat as
+            soon as it arrives; not called for peers that fail.
         """
 
     def forward(
         self, address: str, request: ForwardedRequest, timeout_ms: int
     ) -> Result[ForwardedAnswer, Failure]:
-        """Let a peer execute a request."""
+        """Have a peer execute a request."""
 
     def read_log(
         self, address: str, from_offset: int, limit: int, timeout_ms: int
     ) -> Result[LogPage, Failure]:
-        """Fetch log records through a peer."""
+        """Fetch log records from a peer.
+
+        :param from_offset: offset of the first record to return.
+        :param limit: maximum number of records.
+        """
 
     def snapshot(
         self, address: str, timeout_ms: int
     ) -> Result[StateSnapshot, Failure]:
-        """Fetch a peer's encoded fold."""
+        """Fetch the encoded replicated state of a peer."""
 
 
 class PeerHandler(Protocol):
-    """What an entry instance does for its peers."""
+    """Handler of the calls that peers make to an entry instance."""
 
     def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Take in a peer's heartbeat and return the own one."""
+        """Record a peer's heartbeat and return the own one as answer."""
 
     def forward(
         self, request: ForwardedRequest
     ) -> Result[ForwardedAnswer, Failure]:
-        """Execute a forwarded request; runs in a worker thread."""
+        """Execute a forwarded request; called in a pool thread."""
 
     def read_log(self, from_offset: int, limit: int) -> LogPage:
-        """Relay log records."""
+        """Return log records from the local copy.
+
+        :param from_offset: offset of the first record to return.
+        :param limit: maximum number of records.
+        """
 
     def snapshot(self) -> StateSnapshot:
-        """Return the encoded fold."""
+        """Return the encoded replicated state."""
--- a/src/magnoliapitch/peer/message.py
+++ b/src/magnoliapitch/peer/message.py
@@ -1,4 +1,4 @@
-"""Messages between entry instances as plain values."""
+"""Messages between entry instances as Python values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 
 
 class UnitLoad(NamedTuple):
-    """Free capacity of a unit owned by the sender."""
+    """Free capacity of a unit that the sender owns.
+
+    :param unit: rack of workers or group of backend servers.
+    :param free: unused resources of a rack.
+    :param queued: number of requests that wait for a slot.
+    :param free_slots: number of further requests that a group can execute.
+    """
 
     unit: str
     free: Resources = NO_RESOURCES
@@ -21,8 +27,9 @@
 class MemberInfo(NamedTuple):
     """What the sender knows of another instance.
 
-    :param age_ms: time since the sender last heard of it.
-    :param direct: whether the sender heard it itself.
+    :param next_offset: highest next log offset reported for it.
+    :param age_ms: time since the sender last heard it or of it.
+    :param direct: whether the sender received its heartbeat itself.
     """
 
     instance_id: str
@@ -35,13 +42,13 @@
 
 
 class ZoneInfo(NamedTuple):
-    """How far an availability zone has applied the log.
+    """Report on how far an availability zone has applied the log.
 
-    :param min_offset: lowest next offset of its live instances.
-    :param slowest: instance with that offset.
-    :param live: number of live instances.
-    :param silent: number of instances that are neither live nor gone.
-    :param age_ms: time since a member of the zone reported it.
+    :param min_offset: lowest next offset of its live and leaving instances.
+    :param slowest: id of an instance with that offset.
+    :param live: number of live and leaving instances.
+    :param silent: number of other instances that have not left.
+    :param age_ms: time since a member of the zone made the report.
     """
 
     zone: str
@@ -53,14 +60,20 @@
 
 
 class Heartbeat(NamedTuple):
-    """One heartbeat.
-
-    :param next_offset: offset of the next log record to apply.
-    :param log_age_ms: age of the last successful log read.
-    :param members: others that the sender knows, the addressee first.
-    :param peer_address: ``IP:PORT`` of the sender's peer listener.
-    :param seen_offset: highest next offset that the sender has heard of.
-    :param complete: whether the sender's state may be served.
+    """State of the sender and its knowledge of other instances.
+
+    :param next_offset: offset of the next log record that the sender will
+        apply.
+    :param log_age_ms: time since its last successful log read.
+    :param leaving: whether the sender is about to stop.
+    :param loads: free capacity of the units that it owns.
+    :param members: other members known to it, the receiver first.
+    :param peer_address: ``IP:PORT`` of its peer listener.
+    :param seen_offset: highest next offset that it knows of, also through
+        others.
+    :param complete: whether it has the complete history up to
+        ``next_offset``, so that its state may be used.
+    :param zones: reports on the own zone and on some others.
     """
 
     instance_id: str
@@ -78,9 +91,11 @@
 
 
 class ForwardedRequest(NamedTuple):
-    """A small request that a peer executes.
+    """Request that a peer executes on behalf of the sender.
 
-    :param ticket: ticket that allows one execution, or empty.
+    :param entry: name of the catalogue entry.
+    :param timeout_ms: time within which the request must be answered.
+    :param ticket: ticket that permits a single execution, or empty.
     :param key: idempotency key, or empty.
     """
 
@@ -93,7 +108,10 @@
 
 
 class ForwardedAnswer(NamedTuple):
-    """A complete answer to a forwarded request."""
+    """Complete answer to a forwarded request.
+
+    :param status: HTTP status code.
+    """
 
     request_id: str
     status: int
@@ -102,10 +120,10 @@
 
 
 class LogPage(NamedTuple):
-    """Log records that a peer relays.
+    """Consecutive log records from a peer.
 
-    :param next_offset: next offset that the peer will apply.
-    :param log_age_ms: age of the peer's last successful log read.
+    :param next_offset: offset of the next record that the peer will apply.
+    :param log_age_ms: time since the peer's last successful log read.
     """
 
     records: tuple[LogRecord, ...]
@@ -114,9 +132,11 @@
 
 
 class StateSnapshot(NamedTuple):
-    """Encoded fold of a peer.
+    """Encoded replicated state of a peer.
 
-    :param offset: offset of the next record after the snapshot.
+    :param offset: offset of the first record not contained in it.
+    :param digest: hash of the state.
+    :param state: encoded state.
     """
 
     offset: int
--- a/src/magnoliapitch/peer/node.py
+++ b/src/magnoliapitch/peer/node.py
@@ -1,4 +1,4 @@
-"""RPC node: one asyncio loop in one thread, for both directions."""
+"""RPC server and client of an entry instance, in one asyncio thread."""
 
 from __future__ import annotations
 
@@ -102,10 +102,12 @@
 
 
 class PeerNode:
-    """Serves peers and calls them.
+    """Serves calls from peers and makes calls to them.
 
-    :param address: IP number and port to listen on; port 0 picks one.
-    :ivar handler: serves calls of peers; set before the start.
+    :param address: IP address and port to listen on; port 0 selects a
+        free one.
+    :ivar handler: handles calls from peers; must be set before the start.
+    :ivar port: port on which the node listens once it has started.
     """
 
     name = "peer-node"
@@ -125,9 +127,9 @@
         self.port = address[1]
 
     def start(self) -> None:
-        """Bind and serve in a thread of its own.
+        """Listen and serve in a separate thread.
 
-        :raises StartError: if the address cannot be bound.
+        :raises StartError: if listening on the address fails.
         """
         self._started.clear()
         self._start_error = None
@@ -142,7 +144,7 @@
             raise StartError(self.name, reason)
 
     def stop(self) -> None:
-        """Close every connection and end the thread."""
+        """Stop listening, drop all connections and wait for the thread."""
         if self._loop is not None and self._stop_event is not None:
             self._loop.call_soon_threadsafe(self._stop_event.set)
         if self._thread is not None:
@@ -150,13 +152,13 @@
         self._executor.shutdown(wait=False)
 
     def is_alive(self) -> bool:
-        """Return whether the loop's thread runs."""
+        """Return whether the event loop thread is running."""
         return self._thread is not None and self._thread.is_alive()
 
     def heartbeat(
         self, address: str, heartbeat: Heartbeat, timeout_ms: int
     ) -> Result[Heartbeat, Failure]:
-        """Exchange heartbeats with a peer."""
+        """Send a heartbeat and return the peer's."""
         return self._call(address, _heartbeat_call(heartbeat), timeout_ms)
 
     def heartbeat_all(
@@ -165,7 +167,7 @@
         timeout_ms: int,
         on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
-        """Exchange heartbeats with many peers at once."""
+        """Send heartbeats to many peers concurrently."""
 
         async def exchange(address: str, heartbeat: Heartbeat) -> None:
             outcome = await self._call_in_loop(
@@ -187,7 +189,7 @@
     def forward(
         self, address: str, request: ForwardedRequest, timeout_ms: int
     ) -> Result[ForwardedAnswer, Failure]:
-        """Let a peer execute a request."""
+        """Have a peer execute a request."""
 
         async def call(peer: Any) -> Result[ForwardedAnswer, Failure]:
             answer = await peer.forward(request=codec.request_to_dict(request))
@@ -199,7 +201,7 @@
     def read_log(
         self, address: str, from_offset: int, limit: int, timeout_ms: int
     ) -> Result[LogPage, Failure]:
-        """Fetch log records through a peer."""
+        """Fetch log records from a peer."""
 
         async def call(peer: Any) -> LogPage:
             answer = await peer.readLog(fromOffset=from_offset, limit=limit)
@@ -210,7 +212,7 @@
     def snapshot(
         self, address: str, timeout_ms: int
     ) -> Result[StateSnapshot, Failure]:
-        """Fetch a peer's encoded fold."""
+        """Fetch the encoded replicated state of a peer."""
 
         async def call(peer: Any) -> StateSnapshot:
             answer = await peer.snapshot()
@@ -228,17 +230,31 @@
     ) -> Result[ValueT, Failure]:
         future = self._submit(self._call_in_loop(address, call, timeout_ms))
         if future is None:
-            return Err(not_run(FailureCode.UNAVAILABLE, "node is stopped"))
+            return Err(
+                not_run(
+                    FailureCode.UNAVAILABLE,
+                    "the RPC node of this instance is stopped",
+                )
+            )
+        # The timeout applies to connecting and to the call separately.
         try:
             return future.result(2 * timeout_ms / 1000)
         except (FutureTimeoutError, CancelledError):
             future.cancel()
-            return Err(may_have_run(FailureCode.TIMEOUT, "peer is silent"))
+            return Err(
+                may_have_run(
+                    FailureCode.TIMEOUT,
+                    f"peer {address} did not answer in time",
+                )
+            )
 
     def _submit(
         self, call: Coroutine[Any, Any, ValueT]
     ) -> Future[ValueT] | None:
-        """Run a coroutine in the loop, or drop it if the loop has ended."""
+        """Run a coroutine in the event loop.
+
+        :return: None if the loop has ended; the coroutine is then closed.
+        """
         if self._loop is not None and self.is_alive():
             with suppress(RuntimeError):
                 return asyncio.run_coroutine_threadsafe(call, self._loop)
