--- a/src/magnoliapitch/api/admin.py
+++ b/src/magnoliapitch/api/admin.py
@@ -21,29 +21,29 @@
 
 
 class AdminNode(Protocol):
-    """What operators see of an instance."""
+    """Parts of an entry instance that the operators' routes use."""
 
     @property
     def core(self) -> EntryCore:
-        """Return what the instance decides with."""
+        """Return the components of the instance."""
 
     @property
     def usage_meter(self) -> ProcessUsageMeter:
-        """Return the meter of the process."""
+        """Return the meter of the process's resource usage."""
 
     @property
     def supervisor(self) -> Supervisor:
-        """Return the root of the instance's parts."""
+        """Return the root supervisor of the instance."""
 
     def dump(self) -> dict[str, object]:
-        """Return the state dump."""
+        """Return the state of all components."""
 
     def is_ready(self) -> bool:
-        """Return whether callers can be served."""
+        """Return whether the instance can serve callers."""
 
 
 def admin_application(node: AdminNode) -> Application:
-    """Return the application that serves operators."""
+    """Create the application that serves operators."""
     application = Application()
     add_catalogue_routes(application, node.core)
     _add_state_routes(application, node)
--- a/src/magnoliapitch/api/caller.py
+++ b/src/magnoliapitch/api/caller.py
@@ -36,7 +36,7 @@
 
 
 def caller_application(core: EntryCore) -> Application:
-    """Return the application that serves callers."""
+    """Create the application that serves callers."""
     application = Application(
         core.settings.http.body_max_bytes, lambda: core.is_draining
     )
@@ -106,7 +106,8 @@
             return problem_response(
                 not_run(
                     FailureCode.UNAVAILABLE,
-                    f"job {job_id} is unknown here and the log is away",
+                    f"job {job_id} is unknown to this instance, and the log "
+                    "cannot be read",
                     LOG_READ_TIMEOUT_MS,
                 ),
                 request.request_id,
--- a/src/magnoliapitch/api/catalogue.py
+++ b/src/magnoliapitch/api/catalogue.py
@@ -1,8 +1,8 @@
-"""Routes through which operators read and change the catalogue.
+"""Routes for operators to read and change the catalogue.
 
 The version of an entry is its entity tag. A change of an existing entry
-names the version that it replaces in ``If-Match``; when another operator
-was faster, the answer is 409 and nothing has changed.
+must name the version that it replaces in ``If-Match``. If the entry has
+another version by then, nothing changes and the response is 409.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def add_catalogue_routes(application: Application, core: EntryCore) -> None:
-    """Serve the catalogue below ``/v1/catalogue``."""
+    """Add the routes below ``/v1/catalogue``."""
     _add_read_routes(application, core)
     _add_change_routes(application, core)
 
--- a/src/magnoliapitch/api/explanation.py
+++ b/src/magnoliapitch/api/explanation.py
@@ -1,4 +1,4 @@
-"""Route that tells why a job waits."""
+"""Route that explains why a job waits."""
 
 from __future__ import annotations
 
@@ -30,7 +30,9 @@
 class _Owner(NamedTuple):
     """Owner of the rack that a job is assigned to.
 
-    :param url: base URL of its callers' interface, empty for this one.
+    :param url: base URL of the owner's interface for callers; empty if
+        this instance is the owner or the job is done.
+    :param is_done: whether the job is done.
     """
 
     url: str
@@ -38,7 +40,10 @@
 
 
 def add_explanation_route(application: Application, core: EntryCore) -> None:
-    """Serve explanations, or point to the instance that owns the job."""
+    """Add the route for explanations of jobs.
+
+    If another instance owns the job's rack, the route redirects to it.
+    """
 
     @application.route("GET", "/v1/jobs/{job}/explanation")
     def explain(request: HttpRequest) -> HttpResponse:
--- a/src/magnoliapitch/entry/__init__.py
+++ b/src/magnoliapitch/entry/__init__.py
@@ -1,5 +1,6 @@
-"""Entry instances; each kind of node loads only what it needs.
+"""The two kinds of entry instances.
 
-``node`` holds the node of a single deployment with its own log,
-``job_node`` that of a platform with a shared store.
+``node`` has the instance of a single deployment with its own log,
+``job_node`` the one of a platform with a shared store. The package imports
+neither, so that each kind loads only the modules that it needs.
 """
--- a/src/magnoliapitch/entry/adapters.py
+++ b/src/magnoliapitch/entry/adapters.py
@@ -1,4 +1,4 @@
-"""The outside of an entry instance."""
+"""Adapters to the external systems that an entry instance calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Adapters(NamedTuple):
-    """Everything that an entry instance calls."""
+    """Clients of all external systems of an entry instance."""
 
     log: PlatformLog
     instance_list: InstanceList
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> Adapters:
-        """Build the adapters that the settings name."""
+        """Create the adapters that the settings select."""
         return cls(
             make_log(settings.platform.log_url),
             make_instance_list(settings.platform.instance_list_url),
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -1,4 +1,4 @@
-"""The parts of an entry instance without threads and listeners."""
+"""Components of an entry instance, without threads and listeners."""
 
 from __future__ import annotations
 
@@ -57,10 +57,11 @@
 
 
 class NamedStep(NamedTuple):
-    """A step that one thread, or a test, calls again and again.
+    """Function that a single thread, or a test, calls periodically.
 
-    :param step: returns the milliseconds until its next call.
-    :param branch: supervisor that the step's loop belongs to.
+    :param name: name of the thread that calls it.
+    :param step: does the work; returns the milliseconds until its next call.
+    :param branch: name of the supervisor that the thread belongs to.
     """
 
     name: str
@@ -71,10 +72,13 @@
 class EntryCore:
     """State and behaviour of one entry instance.
 
-    Nothing here starts a thread; :meth:`steps` are driven from outside.
+    It starts no threads itself: its user calls the functions that
+    :meth:`steps` returns.
 
-    :ivar on_superseded: called when the log names this incarnation as
-        gone.
+    :param link: client for calls to peers.
+    :param runner: runs calls to workers.
+    :ivar on_superseded: called when the log says that this incarnation has
+        left, because another one replaced it or it was taken as gone.
     """
 
     def __init__(
@@ -161,10 +165,10 @@
         self._link = link
 
     def steps(self, wait_ms: int = 0) -> tuple[NamedStep, ...]:
-        """Return the steps in the order in which they are started.
+        """Return the steps, in the order in which to start their threads.
 
-        :param wait_ms: how long a step may wait for something to do; 0
-            for steps that are driven with a manual clock.
+        :param wait_ms: how long a step may block while it has no work; 0
+            if the steps are called with a manual clock.
         """
         return (
             NamedStep(
@@ -188,7 +192,7 @@
         )
 
     def join(self) -> None:
-        """Announce this incarnation through the log."""
+        """Announce this incarnation to all instances through the log."""
         self.journal.enqueue(
             EntryJoin(
                 self.identity.instance_id,
@@ -200,7 +204,10 @@
         )
 
     def leave(self) -> None:
-        """Announce the departure; call it when no step runs any more."""
+        """Announce through the log that this incarnation has stopped.
+
+        To be called after all steps have stopped.
+        """
         self.journal.enqueue(EntryLeave(self.identity.incarnation))
         for _ in range(MAX_LEAVE_ATTEMPTS):
             if not self.journal.has_unsent():
@@ -208,7 +215,7 @@
             self.journal.append_step()
 
     def applied_everywhere(self) -> AppliedEverywhere:
-        """Return up to which offset the log is in force everywhere."""
+        """Return up to which offset all instances have applied the log."""
         return self.membership.applied_everywhere()
 
     @property
@@ -217,7 +224,7 @@
         return self.membership.leaving
 
     def drain(self) -> None:
-        """Refuse new work from now on; what was accepted goes on."""
+        """Refuse new work from now on; accepted work continues."""
         if not self.is_draining:
             self.router.begin_drain()
             log_event("drain-started")
@@ -231,7 +238,7 @@
         if not self.journal.is_complete:
             return not_run(
                 FailureCode.UNAVAILABLE,
-                "the log's history is not known yet",
+                "the history in the log has not been loaded completely yet",
                 INCOMPLETE_HISTORY_RETRY_MS,
             )
         if not self.is_draining:
@@ -243,7 +250,7 @@
         )
 
     def patience_ms(self, entry: str) -> int:
-        """Return how long callers of an entry wait."""
+        """Return how long callers of a catalogue entry wait, in ms."""
         with self.journal.reading() as state:
             versioned = state.catalogue_by_name.get(entry)
         if versioned is None:
@@ -251,24 +258,24 @@
         return versioned.entry.patience_ms
 
     def work_class_of(self, entry: str) -> str:
-        """Return the class of an entry's work, or ``unknown``."""
+        """Return the work class of a catalogue entry, or ``unknown``."""
         with self.journal.reading() as state:
             versioned = state.catalogue_by_name.get(entry)
         return versioned.entry.work_class.value if versioned else "unknown"
 
     def job_status(self, job_id: str) -> dict[str, object] | None:
-        """Return what the log knows of a job."""
+        """Return a summary of a job from the log, or None."""
         with self.journal.reading() as state:
             job = state.jobs_by_id.get(job_id)
             return None if job is None else _job_summary(job)
 
     def job_list(self) -> list[dict[str, object]]:
-        """Return what the log knows of every job."""
+        """Return a summary of each job in the log."""
         with self.journal.reading() as state:
             return [_job_summary(job) for job in state.jobs_by_id.values()]
 
     def dump(self) -> dict[str, object]:
-        """Return the state of every part."""
+        """Return the state of all components."""
         return {
             "journal": self.journal.dump(),
             "membership": self.membership.dump(),
@@ -279,23 +286,23 @@
         }
 
     def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Take in a peer's heartbeat and return the own one."""
+        """Record a peer's heartbeat and return the own one as answer."""
         return self.membership.handle_heartbeat(heartbeat)
 
     def forward(
         self, request: ForwardedRequest
     ) -> Result[ForwardedAnswer, Failure]:
-        """Execute a forwarded request."""
+        """Execute a request that a peer has forwarded."""
         return self.router.execute_forwarded(request)
 
     def read_log(self, from_offset: int, limit: int) -> LogPage:
-        """Relay log records."""
+        """Return log records from the local copy."""
         heartbeat = self.membership.own_heartbeat()
         records = self.journal.page(from_offset, limit)
         return LogPage(records, heartbeat.next_offset, heartbeat.log_age_ms)
 
     def snapshot(self) -> StateSnapshot:
-        """Return the encoded fold."""
+        """Return the encoded replicated state."""
         return self.journal.snapshot()
 
     def _heartbeat_step(self) -> int:
@@ -307,7 +314,7 @@
         return f"http://{self.settings.address}:{port}"
 
     def _handle_superseded(self) -> None:
-        """Stop working for good: another incarnation has taken over."""
+        """Stop for good, since the log says that this incarnation has left."""
         if self.is_draining:
             return
         log_event("superseded", incarnation=self.identity.incarnation)
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -1,4 +1,4 @@
-"""An instance that schedules jobs from a shared store."""
+"""Entry instance that schedules jobs kept in a shared store."""
 
 from __future__ import annotations
 
@@ -62,19 +62,21 @@
 PEER_THREADS = 4
 CONFIGURATION_WAIT_MS = 700
 CONFIGURATION_RETRY_MS = 200
-# The balancer notices an instance that is not ready within two checks.
+# The load balancer needs up to two checks to notice that an instance is not
+# ready.
 LOAD_BALANCER_DELAY_MS = 2_500
 STOP_TIMEOUT_S = 2
-# The leader decides and sends every order, so that it needs both.
+# The leader makes and sends all scheduling decisions, which takes CPU time
+# and network bandwidth.
 MIN_LEADER_CORES = 1.0
 MIN_LEADER_LINK_MBPS = 50.0
 WEAK_MACHINE_CLAIM_DELAY_MS = 1_500
 
 
 class JobNode:
-    """The parts of an instance and their supervisor.
+    """Entry instance: its components under a supervisor.
 
-    :param give_up: called when a part fails too often.
+    :param give_up: called when a component fails too often.
     """
 
     def __init__(
@@ -144,7 +146,7 @@
         )
 
     def start(self) -> None:
-        """Start every part.
+        """Start all components.
 
         :raises StartError: if a listener cannot be bound.
         """
@@ -152,7 +154,11 @@
         log_event("entry-started", pid=os.getpid())
 
     def stop(self) -> None:
-        """Let the balancer turn away, finish what is in flight, stop."""
+        """Stop without losing requests.
+
+        Leave the cluster, wait until the load balancer sends no more
+        requests, finish those in flight and stop all components.
+        """
         log_event("entry-stopping")
         self._is_draining = True
         self._desk.close()
@@ -163,7 +169,7 @@
         log_event("entry-stopped")
 
     def is_ready(self) -> bool:
-        """Return whether callers can be served."""
+        """Return whether the instance can serve callers."""
         return (
             not self._is_draining
             and self._desk.configuration() is not None
@@ -172,7 +178,7 @@
         )
 
     def is_leading(self) -> bool:
-        """Return whether this instance decides for all."""
+        """Return whether this instance is the leader."""
         return self._leadership.claim is not None
 
     def _children(self) -> list[Child]:
@@ -270,7 +276,10 @@
 
 
 def _claim_delay_ms(machine: MachineSettings) -> int:
-    """Return how much longer a machine too weak to lead well waits."""
+    """Return by how much this instance delays its claims to lead.
+
+    Machines too weak to lead well wait, so that a stronger one wins.
+    """
     is_strong = (
         machine.cpu_share * machine.cores >= MIN_LEADER_CORES
         and machine.link_mbps >= MIN_LEADER_LINK_MBPS
--- a/src/magnoliapitch/entry/job_service.py
+++ b/src/magnoliapitch/entry/job_service.py
@@ -1,4 +1,4 @@
-"""Accepts jobs."""
+"""Submission and cancellation of jobs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class JobService:
-    """Chooses the rack of a new job, or refuses what can never run."""
+    """Assigns new jobs to racks, and refuses jobs that can never run."""
 
     def __init__(
         self,
@@ -48,7 +48,10 @@
         self._cached_generation = -1
 
     def submit(self, job: JobSpec, timeout_ms: int) -> Result[None, Failure]:
-        """Accept a job through the log; the same job again is accepted."""
+        """Append a job to the log.
+
+        Submitting the same job again succeeds without effect.
+        """
         known_job = self._outcome_of_known(job)
         if known_job is not None:
             return known_job
@@ -68,7 +71,10 @@
         )
 
     def cancel(self, job_id: str, timeout_ms: int) -> Result[None, Failure]:
-        """Cancel a job through the log; cancelling again is accepted."""
+        """Append the cancellation of a job to the log.
+
+        Cancelling a job again succeeds without effect.
+        """
         if self._is_cancelled(job_id):
             return Ok(None)
         outcome = self._journal.commit(JobCancel(job_id), timeout_ms)
@@ -80,7 +86,7 @@
         return Err(not_run(FailureCode.CONFLICT, reason))
 
     def choose_unit(self, job: JobSpec) -> Result[str, Failure]:
-        """Return the least loaded rack that can hold a job."""
+        """Return the rack with the fewest open tasks that can run a job."""
         with self._journal.reading() as state:
             versioned = state.catalogue_by_name.get(job.entry)
         if versioned is None:
@@ -95,7 +101,7 @@
             return Err(
                 not_run(
                     FailureCode.UNAVAILABLE,
-                    "no rack is owned",
+                    "no rack with workers is owned by an instance",
                     NO_RACK_RETRY_MS,
                 )
             )
@@ -113,7 +119,10 @@
     def _check_queue_limit(
         self, job: JobSpec, unit: str, limit: int
     ) -> Result[str, Failure]:
-        """Refuse a job whose entry has too many tasks waiting."""
+        """Return the rack, or refuse if the entry has too many open tasks.
+
+        :param limit: highest number of open tasks of the catalogue entry.
+        """
         with self._journal.reading() as state:
             waiting = state.open_tasks_by_entry.get(job.entry, 0)
         if waiting + job.tasks <= limit:
@@ -128,7 +137,7 @@
         )
 
     def _outcome_of_known(self, job: JobSpec) -> Result[None, Failure] | None:
-        """Return the answer to a job whose id the log knows."""
+        """Return the outcome for a job whose id is in the log, or None."""
         with self._journal.reading() as state:
             known_job = state.jobs_by_id.get(job.job_id)
         if known_job is None:
@@ -138,7 +147,7 @@
         return Err(
             not_run(
                 FailureCode.DUPLICATE,
-                f"another job has the id {job.job_id}",
+                f"a different job with the id {job.job_id} exists",
             )
         )
 
@@ -148,7 +157,10 @@
             return job is not None and job.cancelled
 
     def _shapes_by_unit(self) -> dict[str, tuple[WorkerShape, ...]]:
-        """Return the workers of each rack, made anew for a new list."""
+        """Return the workers of each rack.
+
+        They are cached until the instance list changes.
+        """
         generation = self._fleet.generation
         if self._cached_generation == generation:
             return self._cached_shapes_by_unit
@@ -167,7 +179,10 @@
     def _load_by_unit(
         self, shapes_by_unit: dict[str, tuple[WorkerShape, ...]]
     ) -> dict[str, tuple[int, str]]:
-        """Return the unfinished tasks of each owned rack, and its name."""
+        """Return the sort key of each owned rack.
+
+        :return: number of unfinished tasks, then the name of the rack.
+        """
         with self._journal.reading() as state:
             load_by_unit = {
                 claim.unit: state.open_tasks_by_unit.get(claim.unit, 0)
--- a/src/magnoliapitch/entry/node.py
+++ b/src/magnoliapitch/entry/node.py
@@ -1,4 +1,4 @@
-"""An entry instance as a supervisor tree of threads and listeners."""
+"""Entry instance as a supervisor tree of threads and listeners."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 
 STEP_WAIT_MS = 500
-
-
-DRAIN_CHECK_MS = 20
+DRAIN_CHECK_INTERVAL_MS = 20
 
 
 class EntryNode:
-    """One entry instance.
+    """One entry instance with its threads and listeners.
 
-    :ivar core: everything but threads and listeners.
+    :param give_up: called when a component fails too often, or when the log
+        says that this incarnation has left.
+    :ivar core: all components except threads and listeners.
     """
 
     def __init__(
@@ -88,24 +88,24 @@
     def from_settings(
         cls, settings: Settings, give_up: Callable[[], None] | None = None
     ) -> EntryNode:
-        """Build an entry instance with the adapters of its settings."""
+        """Create an instance with the adapters that its settings select."""
         return cls(settings, Adapters.from_settings(settings), give_up=give_up)
 
     def start(self) -> None:
-        """Join and start serving.
+        """Join the members and start serving.
 
-        :raises StartError: if a part cannot be started.
+        :raises StartError: if a component cannot be started.
         """
         self.core.join()
         self.supervisor.start()
         log_event("entry-started", incarnation=self.core.identity.incarnation)
 
     def is_ready(self) -> bool:
-        """Return whether callers can connect and are accepted."""
+        """Return whether callers can connect and their work is accepted."""
         return self.caller_listener.is_alive() and self.core.is_ready()
 
     def dump(self) -> dict[str, object]:
-        """Return the state of every part."""
+        """Return the state of all components."""
         return {
             "instance": self.core.identity._asdict(),
             "version": __version__,
@@ -115,7 +115,7 @@
         }
 
     def stop(self) -> None:
-        """Refuse new work, finish what is in flight and stop."""
+        """Refuse new work, finish requests in flight and stop."""
         log_event("entry-stopping")
         self.core.drain()
         self._wait_for_requests_in_flight()
@@ -125,7 +125,10 @@
         log_event("entry-stopped")
 
     def _wait_for_requests_in_flight(self) -> None:
-        """Keep refusing new requests until those in flight are answered."""
+        """Wait until the requests in flight are answered, or a timeout.
+
+        New requests are refused in the meantime.
+        """
         never_set = threading.Event()
         timeout_ms = self.settings.timing.drain_timeout_ms
         deadline_ms = self.clock.now_ms() + timeout_ms
@@ -135,7 +138,7 @@
                     "drain-timed-out", in_flight=self.core.router.in_flight()
                 )
                 return
-            self.clock.wait(never_set, DRAIN_CHECK_MS)
+            self.clock.wait(never_set, DRAIN_CHECK_INTERVAL_MS)
 
 
 def _restart_policy(settings: Settings) -> RestartPolicy:
--- a/src/magnoliapitch/entry/tree.py
+++ b/src/magnoliapitch/entry/tree.py
@@ -1,9 +1,9 @@
-"""The supervisor tree of an entry instance.
+"""Supervisor tree of an entry instance.
 
-Children start in this order and stop in reverse: the operators' listener,
-the loops to the platform, the loops of the cluster, the peer node, the
-callers' listener. So operators can watch an instance during its whole life,
-and callers come last and leave first.
+Children start in this order and stop in reverse order: the operators'
+listener, the loops that call the platform, the loops of the cluster, the
+peer node, the callers' listener. Operators can thus observe an instance
+from start to stop, and callers are served only while all else runs.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class TreeOptions(NamedTuple):
-    """What every supervisor of the tree shares.
+    """Options common to all supervisors of the tree.
 
     :param give_up: called when a child fails too often.
     """
@@ -34,7 +34,7 @@
     give_up: Callable[[], None] | None = None
 
     def make_supervisor(self, name: str, children: list[Child]) -> Supervisor:
-        """Return a supervisor with these options."""
+        """Create a supervisor with these options."""
         return Supervisor(
             name, children, self.clock, self.policy, self.give_up
         )
@@ -46,10 +46,11 @@
     after_loops: tuple[Child, ...],
     options: TreeOptions,
 ) -> Supervisor:
-    """Return the root with a supervisor for each branch of steps.
+    """Create the root supervisor, with one supervisor below per branch.
 
-    :param before_loops: children that start before every loop.
-    :param after_loops: children that start after every loop.
+    :param steps: functions to call in loops, each in its branch.
+    :param before_loops: children that start before all loops.
+    :param after_loops: children that start after all loops.
     """
     steps_by_branch: dict[str, list[NamedStep]] = {}
     for step in steps:
--- a/tests/api/conftest.py
+++ b/tests/api/conftest.py
@@ -23,7 +23,7 @@
 
 
 class RunningCell:
-    """A cell of two entries in this process."""
+    """Cell with two entry instances in this process."""
 
     def __init__(self) -> None:
         self.cell = Cell(QUETZALTENANGO)
@@ -43,9 +43,9 @@
         path: str,
         value: object = None,
         if_match: str = "",
-        number: int = 0,
+        entry_number: int = 0,
     ) -> urllib3.BaseHTTPResponse:
-        node = self.cell.entries[number]
+        node = self.cell.entries[entry_number]
         headers = {"If-Match": if_match} if if_match else {}
         return urllib3.request(
             method,
@@ -67,7 +67,7 @@
         if condition():
             return
         time.sleep(0.01)
-    raise AssertionError("condition did not come true in time")
+    raise AssertionError("condition was not met in time")
 
 
 @pytest.fixture
--- a/tests/api/test_admin.py
+++ b/tests/api/test_admin.py
@@ -45,7 +45,9 @@
     assert running.admin("GET", PATH).status == 404
 
 
-def test_admin_refuses_an_invalid_change_whole(running: RunningCell) -> None:
+def test_admin_rejects_an_invalid_change_and_names_all_faults(
+    running: RunningCell,
+) -> None:
     wrong = {**ENTRY, "work_class": "fast", "limits": {"shares": 1}}
     answer = running.admin("PUT", PATH, wrong)
     assert answer.status == 400
@@ -65,7 +67,7 @@
     assert running.admin("GET", "/v1/catalogue").json() == {"entries": []}
 
 
-def test_admin_shows_where_a_change_is_in_force(
+def test_admin_shows_on_which_instances_a_change_is_applied(
     running: RunningCell,
 ) -> None:
     running.admin("PUT", PATH, ENTRY)
--- a/tests/api/test_job_advice.py
+++ b/tests/api/test_job_advice.py
@@ -20,7 +20,7 @@
 ENTRY = {"name": "term-roster", "owner": "clubs", "work_class": "batch"}
 
 
-def test_job_that_can_never_run_is_refused_with_what_would_help(
+def test_job_that_can_never_run_is_refused_with_a_remedy(
     running: RunningCell,
 ) -> None:
     _prepare(running, {"queued": 50})
@@ -40,7 +40,7 @@
     assert "'term-roster'" in refused.json()["detail"]
 
 
-def test_job_is_submitted_and_cancelled_once_however_often_asked(
+def test_repeated_submission_and_cancellation_of_a_job_succeed(
     running: RunningCell,
 ) -> None:
     _prepare(running, {})
@@ -56,10 +56,10 @@
 
 def test_job_that_waits_is_explained(running: RunningCell) -> None:
     _prepare(running, {})
-    for number in range(4):
-        assert _submit(running, f"job-{number}", 8, 25_000).status == 202
+    for job_number in range(4):
+        assert _submit(running, f"job-{job_number}", 8, 25_000).status == 202
     wait_until(lambda: "free capacity" in _limits(running))
-    assert _get(running, 0, "absent").status == 404
+    assert _get_explanation(running, 0, "absent").status == 404
 
 
 def _prepare(running: RunningCell, limits: dict[str, int]) -> None:
@@ -102,19 +102,21 @@
 
 def _limits(running: RunningCell) -> set[Any]:
     return {
-        _get(running, entry, f"job-{number}").json().get("limit")
+        _get_explanation(running, entry, f"job-{job_number}")
+        .json()
+        .get("limit")
         for entry in range(2)
-        for number in range(4)
+        for job_number in range(4)
     }
 
 
-def _get(
-    running: RunningCell, number: int, job_id: str
+def _get_explanation(
+    running: RunningCell, entry_number: int, job_id: str
 ) -> urllib3.BaseHTTPResponse:
-    url = f"{_url(running, number)}/v1/jobs/{job_id}/explanation"
+    url = f"{_url(running, entry_number)}/v1/jobs/{job_id}/explanation"
     return urllib3.request("GET", url, timeout=WAIT_S, retries=False)
 
 
-def _url(running: RunningCell, number: int) -> str:
-    node = running.cell.entries[number]
+def _url(running: RunningCell, entry_number: int) -> str:
+    node = running.cell.entries[entry_number]
     return f"http://127.0.0.1:{node.caller_listener.port}"
--- a/tests/api/test_openapi.py
+++ b/tests/api/test_openapi.py
@@ -15,13 +15,13 @@
     from tests.api.conftest import RunningCell
 
 
-PAGE = Path(__file__).parents[2] / "docs" / "openapi.json"
+OPENAPI_PATH = Path(__file__).parents[2] / "docs" / "openapi.json"
 TIMEOUT_S = 30
-DRAIN = ("POST", "/v1/drain")
+DRAIN_ROUTE = ("POST", "/v1/drain")
 
 
-def _documented() -> dict[tuple[str, str], Any]:
-    paths = orjson.loads(PAGE.read_bytes())["paths"]
+def _documented_operations() -> dict[tuple[str, str], Any]:
+    paths = orjson.loads(OPENAPI_PATH.read_bytes())["paths"]
     return {
         (method.upper(), path): operation
         for path, methods in paths.items()
@@ -29,7 +29,9 @@
     }
 
 
-def _registered(running: RunningCell) -> dict[tuple[str, str], Listener]:
+def _registered_listeners(
+    running: RunningCell,
+) -> dict[tuple[str, str], Listener]:
     node = running.cell.entries[0]
     return {
         (route.method, route.path): listener
@@ -41,15 +43,15 @@
 def test_openapi_lists_exactly_the_registered_routes(
     running: RunningCell,
 ) -> None:
-    assert set(_documented()) == set(_registered(running))
+    assert set(_documented_operations()) == set(_registered_listeners(running))
 
 
 def test_openapi_lists_every_status_that_is_answered(
     running: RunningCell,
 ) -> None:
-    listener_by_route = _registered(running)
-    operations = _documented()
-    order = sorted(operations, key=lambda route: route == DRAIN)
+    listener_by_route = _registered_listeners(running)
+    operations = _documented_operations()
+    order = sorted(operations, key=lambda route: route == DRAIN_ROUTE)
     for method, path in order:
         port = listener_by_route[method, path].port
         for name in ("nothing", "a%00b", "x" * 300):
--- a/tests/journal/test_history.py
+++ b/tests/journal/test_history.py
@@ -27,7 +27,7 @@
 from magnoliapitch.journal.snapshot import state_digest
 from magnoliapitch.journal.snapshot_writer import SnapshotWriter
 from magnoliapitch.verdict import Verdict
-from tests.membership.conftest import DRIVEN
+from tests.membership.conftest import DRIVEN_STEPS
 from tests.membership.conftest import Group
 
 
@@ -248,7 +248,7 @@
 def test_history_is_the_same_everywhere_under_faults(
     rounds: list[tuple[tuple[object, ...], ...]],
 ) -> None:
-    assert "snapshots" in DRIVEN
+    assert "snapshots" in DRIVEN_STEPS
     run = Run()
     for step in itertools.chain.from_iterable(rounds):
         apply_step(run, step)
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -24,7 +24,7 @@
 
 
 STEP_MS = 500
-DRIVEN = (
+DRIVEN_STEPS = (
     "follower",
     "appender",
     "fleet",
@@ -35,7 +35,7 @@
 
 
 class Group:
-    """Entry cores whose time, log and network the test controls."""
+    """Entry instances whose clock, log and network the test controls."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(1_000_000)
@@ -96,7 +96,7 @@
                     self._step(name, core)
             self.clock.advance(STEP_MS)
 
-    def put(self, name: str) -> int:
+    def put_catalogue_entry(self, name: str) -> int:
         entry = CatalogueEntry(name, "clubs", WorkClass.BATCH)
         return self.log.append(
             encode_record((CataloguePut(entry, 0),))
@@ -110,7 +110,7 @@
 
     def _step(self, name: str, core: EntryCore) -> None:
         for item in core.steps():
-            if item.name not in DRIVEN:
+            if item.name not in DRIVEN_STEPS:
                 continue
             key = (core.identity.incarnation, item.name)
             if self._next_due_ms.get(key, 0) <= self.clock.now_ms():
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -32,7 +32,7 @@
         return self.handle_heartbeat(heartbeat)
 
 
-def joins_of(zones: int, per_zone: int) -> list[EntryJoin]:
+def join_records(zones: int, per_zone: int) -> list[EntryJoin]:
     return [
         EntryJoin(f"{zone}-{n}", f"{zone}-{n}", f"z{zone:02}", f"{zone}:{n}")
         for zone in range(zones)
@@ -42,7 +42,7 @@
 
 def test_links_of_an_instance_do_not_grow_with_the_zones() -> None:
     for zones in (4, 22):
-        members = joins_of(zones, 7)
+        members = join_records(zones, 7)
         for own in members:
             others = [item for item in members if item != own]
             linked = linked_members(own, others, ())
@@ -50,16 +50,16 @@
 
 
 def test_links_connect_all_zones_and_avoid_failing_members() -> None:
-    members = joins_of(22, 1)
+    members = join_records(22, 1)
     links = {
         own.zone: {item.zone for item in linked_members(own, members, ())}
         for own in members
     }
     reached = {"z00"}
-    while more := {b for a in reached for b in links[a]} - reached:
-        reached |= more
+    while newly_reached := {b for a in reached for b in links[a]} - reached:
+        reached |= newly_reached
     assert len(reached) == 22
-    pair = joins_of(2, 2)
+    pair = join_records(2, 2)
     (first,) = linked_members(pair[0], pair[2:], ())
     (second,) = linked_members(pair[0], pair[2:], {first.incarnation})
     assert first != second
@@ -131,12 +131,14 @@
     assert old.refusal() is not None
 
 
-def test_silent_member_is_removed_once_and_learns_it(group: Group) -> None:
+def test_silent_member_is_removed_once_and_finds_itself_superseded(
+    group: Group,
+) -> None:
     for name in ("a", "b", "c"):
         group.add(name)
         group.list_entry(name)
     group.run(3_000)
-    lost = group.kill("c")
+    removed = group.kill("c")
     group.run(2 * GONE_AFTER_MS)
     assert set(group.states("a")) == {"b", "c"}
     del group.instances.by_id["c"]
@@ -150,13 +152,13 @@
         for entry in decode_record(record.data).entries
         if isinstance(entry, EntryLeave)
     ]
-    assert leaves == [EntryLeave(lost.identity.incarnation)]
-    group.cores["c"] = lost
+    assert leaves == [EntryLeave(removed.identity.incarnation)]
+    group.cores["c"] = removed
     group.run(2_000)
-    assert lost.membership.is_superseded()
+    assert removed.membership.is_superseded()
 
 
-def test_member_is_not_removed_without_the_platforms_word(
+def test_member_is_not_removed_unless_the_platform_omits_it(
     group: Group,
 ) -> None:
     for name in ("a", "b", "c"):
@@ -177,18 +179,20 @@
     assert group.states("b") == {"a": "joining", "c": "suspect"}
 
 
-def test_applied_everywhere_names_who_holds_it_back(group: Group) -> None:
+def test_applied_everywhere_names_slow_and_unknown_instances(
+    group: Group,
+) -> None:
     for number, zone in enumerate(("norte", "norte", "sur", "oeste")):
         group.add("abcd"[number], zone)
     group.run(10_000)
     everywhere = group.cores["a"].applied_everywhere()
     assert everywhere.unknown == ()
-    offset = group.put("x")
+    offset = group.put_catalogue_entry("x")
     group.run(6_000)
     assert group.cores["a"].applied_everywhere().covers(offset)
-    slow = group.cores["d"].journal
-    slow.apply = lambda records: None  # type: ignore[method-assign]
-    offset = group.put("y")
+    slow_journal = group.cores["d"].journal
+    slow_journal.apply = lambda records: None  # type: ignore[method-assign]
+    offset = group.put_catalogue_entry("y")
     group.run(6_000)
     everywhere = group.cores["a"].applied_everywhere()
     assert not everywhere.covers(offset)
@@ -232,7 +236,7 @@
     node.handler = peer.handler = handler  # type: ignore[assignment]
     node.start()
     peer.start()
-    heard: list[str] = []
+    answered: list[str] = []
     with socket.create_server(("127.0.0.1", 0)) as silent:
         addresses = [f"127.0.0.1:{silent.getsockname()[1]}"]
         addresses += [f"127.0.0.1:{peer.port}", "not an address"]
@@ -240,8 +244,8 @@
             addresses, Heartbeat("a", "a", "norte", 0, 0)
         )
         node.heartbeat_all(
-            heartbeats, 500, lambda at, heartbeat: heard.append(at)
+            heartbeats, 500, lambda at, heartbeat: answered.append(at)
         )
     node.stop()
     peer.stop()
-    assert heard == [addresses[1]]
+    assert answered == [addresses[1]]
--- a/tests/membership/test_relay.py
+++ b/tests/membership/test_relay.py
@@ -26,7 +26,7 @@
     group.add("b")
     group.run(3_000)
     group.logs["b"].down = True
-    offset = group.put("x")
+    offset = group.put_catalogue_entry("x")
     group.run(5_000)
     assert offset_of(group, "b") > offset
     group.log.down = True
@@ -42,19 +42,19 @@
     group.logs["b"].down = True
     group.cores["a"].journal._tail = RecordTail(max_bytes=2_000)
     for number in range(100):
-        group.put(f"n{number}")
+        group.put_catalogue_entry(f"n{number}")
     group.run(5_000)
     group.log.down = True
     group.run(2_000)
     assert digest_of(group, "a") == digest_of(group, "b")
 
 
-def test_restart_in_a_cut_zone_serves_from_its_peers_state(
+def test_restart_in_a_partitioned_zone_loads_the_state_of_a_peer(
     group: Group,
 ) -> None:
     group.add("a")
     group.add("b")
-    group.put("x")
+    group.put_catalogue_entry("x")
     group.run(4_000)
     group.log.down = True
     before = offset_of(group, "b")
@@ -69,17 +69,17 @@
         assert "x" in state.catalogue_by_name
 
 
-def test_restart_never_goes_back_behind_what_a_peer_has_heard_of(
+def test_restarted_instance_is_not_ready_below_an_offset_known_to_peers(
     group: Group,
 ) -> None:
     for name in ("a", "b", "c"):
         group.add(name)
     group.run(4_000)
     group.logs["a"].down = True
-    slow = group.cores["a"].journal
-    slow.apply = lambda records: None  # type: ignore[method-assign]
-    slow.install = lambda state: False  # type: ignore[method-assign]
-    group.put("x")
+    slow_journal = group.cores["a"].journal
+    slow_journal.apply = lambda records: None  # type: ignore[method-assign]
+    slow_journal.install = lambda state: False  # type: ignore[method-assign]
+    group.put_catalogue_entry("x")
     group.run(4_000)
     assert offset_of(group, "a") < offset_of(group, "b")
     group.log.down = True
@@ -97,7 +97,9 @@
     assert digest_of(group, "b") == digest_of(group, "c")
 
 
-def test_cold_instances_do_not_vouch_for_each_other(group: Group) -> None:
+def test_instances_without_history_are_not_ready_through_each_other(
+    group: Group,
+) -> None:
     group.log.down = True
     group.add("a", seeds=("b",))
     group.add("b", seeds=("a",))
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -27,7 +27,7 @@
 START_TIMEOUT_S = 60
 
 
-class EntryFile(NamedTuple):
+class EntryFileSettings(NamedTuple):
     zone: str
     platform_url: str
     policy: str
@@ -35,10 +35,10 @@
 
 
 class EntryProcess:
-    """An entry instance running as a process of its own."""
+    """Entry instance that runs in a separate process."""
 
     def __init__(
-        self, number: int, settings: EntryFile, folder_path: Path
+        self, number: int, settings: EntryFileSettings, folder_path: Path
     ) -> None:
         ports = free_ports(3)
         if settings.caller_port:
@@ -95,7 +95,7 @@
 
 
 class Deployment:
-    """Stand-ins of a cell in this process and entries in others."""
+    """Stand-in platform in this process, entry instances in others."""
 
     def __init__(self, folder: Path) -> None:
         self.cell = Cell(QUETZALTENANGO)
@@ -117,7 +117,7 @@
         platform_url: str = "",
     ) -> EntryProcess:
         number = len(self.entries) + 1
-        settings = EntryFile(
+        settings = EntryFileSettings(
             zone, platform_url or self.server.url, policy, caller_port
         )
         entry = EntryProcess(number, settings, self._folder)
--- a/tests/process/test_job_node.py
+++ b/tests/process/test_job_node.py
@@ -1,4 +1,4 @@
-"""Instances, callers and a platform over real sockets."""
+"""Tests of job instances with callers and a platform over sockets."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Cluster:
-    """Two instances on a platform with two runners."""
+    """Two entry instances on a stand-in platform with two runners."""
 
     def __init__(self) -> None:
         self.store = StandinStore()
@@ -81,12 +81,12 @@
     def state(self, job_id: str, node: int = 0) -> object:
         return self.call("GET", job_id, node)[1].get("state")
 
-    def started(self, part: str) -> list[str]:
+    def started_runs(self, name_part: str) -> list[str]:
         return [
             name
             for runner in self.runners
             for name, _ in runner.started
-            if part in name
+            if name_part in name
         ]
 
     def close(self) -> None:
@@ -128,31 +128,31 @@
     }
 
 
-def eventually(is_so: Callable[[], bool]) -> None:
-    deadline = time.monotonic() + WAIT_S
-    while not is_so():
-        assert time.monotonic() < deadline, "it did not come true"
+def wait_until(condition: Callable[[], bool]) -> None:
+    deadline_s = time.monotonic() + WAIT_S
+    while not condition():
+        assert time.monotonic() < deadline_s, "condition was not met in time"
         time.sleep(0.05)
 
 
 @pytest.fixture(scope="module")
 def cluster() -> Iterator[Cluster]:
-    made = Cluster()
-    eventually(lambda: all(node.is_ready() for node in made.nodes))
-    eventually(lambda: any(node.is_leading() for node in made.nodes))
-    yield made
-    made.close()
+    cluster = Cluster()
+    wait_until(lambda: all(node.is_ready() for node in cluster.nodes))
+    wait_until(lambda: any(node.is_leading() for node in cluster.nodes))
+    yield cluster
+    cluster.close()
 
 
 def test_a_job_runs_once_and_is_shown_everywhere(cluster: Cluster) -> None:
     assert cluster.submit("00000000000000a1") == 200
     for node in range(2):
-        eventually(
+        wait_until(
             lambda node=node: (  # type: ignore[misc]
                 cluster.state("00000000000000a1", node) == "completed"
             )
         )
-    names = cluster.started("00000000000000a1")
+    names = cluster.started_runs("00000000000000a1")
     assert sorted(names) == [
         "00000000000000a1.0.0.0",
         "00000000000000a1.0.0.1",
@@ -163,10 +163,10 @@
 def test_a_job_submitted_again_elsewhere_stays_one(cluster: Cluster) -> None:
     assert cluster.submit("00000000000000a2", 0) == 200
     assert cluster.submit("00000000000000a2", 1) == 200
-    eventually(lambda: cluster.state("00000000000000a2") == "completed")
+    wait_until(lambda: cluster.state("00000000000000a2") == "completed")
     assert cluster.submit("00000000000000a2", 1) == 200
     time.sleep(1)
-    names = cluster.started("00000000000000a2")
+    names = cluster.started_runs("00000000000000a2")
     assert len(names) == len(set(names)) == 3
 
 
@@ -175,12 +175,12 @@
     statuses = [cluster.submit(f"00000000000000b{n}") for n in range(4)]
     assert set(statuses) <= {200, 504}
     for number in range(4):
-        eventually(
+        wait_until(
             lambda number=number: (  # type: ignore[misc]
                 cluster.state(f"00000000000000b{number}") == "completed"
             )
         )
-    names = cluster.started("000000b")
+    names = cluster.started_runs("000000b")
     assert len(names) == len(set(names))
 
 
@@ -188,14 +188,14 @@
     for topic in ("jobs", "states", "runs", "servers", "op", "members"):
         cluster.store.expire(f"keyed.{topic}")
     assert cluster.submit("00000000000000a3") == 200
-    eventually(lambda: cluster.state("00000000000000a3", 1) == "completed")
+    wait_until(lambda: cluster.state("00000000000000a3", 1) == "completed")
 
 
-def test_refusals_tell_when_to_come_back(cluster: Cluster) -> None:
-    eventually(lambda: all(node.is_ready() for node in cluster.nodes))
+def test_refusals_carry_a_retry_delay(cluster: Cluster) -> None:
+    wait_until(lambda: all(node.is_ready() for node in cluster.nodes))
     cluster.store.is_down = True
     try:
-        eventually(lambda: not cluster.nodes[0].is_ready())
+        wait_until(lambda: not cluster.nodes[0].is_ready())
         response = cluster.http.request(
             "POST",
             f"http://{cluster.addresses[0]}{PREFIX}00000000000000a4",
@@ -206,7 +206,7 @@
         assert int(response.headers["Retry-After"]) >= 1
     finally:
         cluster.store.is_down = False
-    eventually(lambda: all(node.is_ready() for node in cluster.nodes))
+    wait_until(lambda: all(node.is_ready() for node in cluster.nodes))
     assert cluster.call("GET", "00000000000000a4")[0] == 410
 
 
@@ -241,4 +241,4 @@
     other = 1 - leader
     cluster.nodes[leader].stop()
     assert cluster.submit("00000000000000c1", other) == 200
-    eventually(lambda: cluster.state("00000000000000c1", other) == "completed")
+    wait_until(lambda: cluster.state("00000000000000c1", other) == "completed")
--- a/tests/process/test_path.py
+++ b/tests/process/test_path.py
@@ -21,7 +21,7 @@
     },
     {"name": "term-roster", "owner": "clubs", "work_class": "batch"},
 )
-RETRIES = 200
+MAX_ATTEMPTS = 200
 
 
 def test_path_serves_a_request_and_a_job_through_processes(
@@ -31,9 +31,11 @@
         deployment.add_entry(zone)
     for entry in deployment.entries:
         entry.wait_ready()
-    _publish(deployment.entries[0].admin_url)
+    _put_catalogue_entries(deployment.entries[0].admin_url)
     for entry in deployment.entries:
-        answer = _until_ok("POST", f"{entry.url}/v1/requests/seat-check", b"x")
+        answer = _call_until_ok(
+            "POST", f"{entry.url}/v1/requests/seat-check", b"x"
+        )
         assert answer.json()["echo"] == "x"
     job = {
         "job_id": "roster",
@@ -42,11 +44,11 @@
         "resources": {"cpu_millis": 1_000},
     }
     url = f"{deployment.entries[1].url}/v1/jobs"
-    assert _until_ok("POST", url, orjson.dumps(job)).status == 202
-    _until_done(f"{deployment.entries[2].url}/v1/jobs/roster")
+    assert _call_until_ok("POST", url, orjson.dumps(job)).status == 202
+    _wait_until_done(f"{deployment.entries[2].url}/v1/jobs/roster")
 
 
-def _publish(admin_url: str) -> None:
+def _put_catalogue_entries(admin_url: str) -> None:
     for entry in ENTRIES:
         answer = urllib3.request(
             "PUT", f"{admin_url}/v1/catalogue/{entry['name']}", json=entry
@@ -54,8 +56,10 @@
         assert answer.status == 200, answer.data
 
 
-def _until_ok(method: str, url: str, body: bytes) -> urllib3.BaseHTTPResponse:
-    for _ in range(RETRIES):
+def _call_until_ok(
+    method: str, url: str, body: bytes
+) -> urllib3.BaseHTTPResponse:
+    for _ in range(MAX_ATTEMPTS):
         answer = urllib3.request(method, url, body=body)
         if answer.status < 300:
             return answer
@@ -63,8 +67,8 @@
     raise AssertionError(answer.data)
 
 
-def _until_done(url: str) -> None:
-    for _ in range(RETRIES):
+def _wait_until_done(url: str) -> None:
+    for _ in range(MAX_ATTEMPTS):
         if urllib3.request("GET", url).json()["done"]:
             return
         time.sleep(0.05)
--- a/tests/process/test_request_fault.py
+++ b/tests/process/test_request_fault.py
@@ -40,7 +40,10 @@
 
 
 class Caller:
-    """Repeats each request through any entry until it has a result."""
+    """Sends each request through random entries until one answers 200.
+
+    Each request is tried at most four times.
+    """
 
     def __init__(
         self, number: int, entries: list[EntryProcess], events: list[object]
@@ -55,12 +58,12 @@
             name = f"c{self.number}-{count}"
             headers = {"Idempotency-Key": name}
             if count % 2:
-                headers = {"Ticket": self.draw()}
+                headers = {"Ticket": self.issue_ticket()}
             for attempt in range(4):
                 if self.send(f"{name}-{attempt}", name, headers):
                     break
 
-    def draw(self) -> str:
+    def issue_ticket(self) -> str:
         while True:
             url = f"{self.random.choice(self.entries).url}/v1/tickets"
             try:
@@ -88,8 +91,8 @@
                 timeout=TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError:
-            lost = Answered(attempt, Verdict.MAY_HAVE_RUN)
-            self.events.append(lost)
+            lost_answer = Answered(attempt, Verdict.MAY_HAVE_RUN)
+            self.events.append(lost_answer)
             return False
         if answer.status == 200:
             body = answer.json()["echo"].encode()
@@ -100,7 +103,7 @@
         return False
 
 
-def test_requests_keep_every_promise_while_entries_die_and_pause(
+def test_request_guarantees_hold_while_entries_are_killed_and_paused(
     deployment: Deployment,
 ) -> None:
     for zone in (*deployment.cell.shape.zones, "xela-norte"):
@@ -122,7 +125,7 @@
     threads = [threading.Thread(target=caller.run) for caller in callers]
     for thread in threads:
         thread.start()
-    _disturb(deployment)
+    _inject_faults(deployment)
     for thread in threads:
         thread.join(WAIT_S)
         assert not thread.is_alive()
@@ -131,7 +134,7 @@
     assert results
 
 
-def _disturb(deployment: Deployment) -> None:
+def _inject_faults(deployment: Deployment) -> None:
     servers = [
         info.instance_id
         for info in deployment.cell.instance_list.by_id.values()
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -16,8 +16,8 @@
     from tests.process.conftest import EntryProcess
 
 
-IN_FLIGHT = 100
-RUNNING = 40
+REQUESTS_IN_FLIGHT = 100
+MAX_CONCURRENT = 40
 DURATION_MS = 1_000
 WAIT_S = 60
 ENTRY = {
@@ -26,7 +26,7 @@
     "work_class": "urgent",
     "app": "clubes-app",
     "patience_ms": 60_000,
-    "limits": {"concurrent_requests": RUNNING},
+    "limits": {"concurrent_requests": MAX_CONCURRENT},
 }
 
 
@@ -37,7 +37,7 @@
     entry.wait_ready()
     url = f"{entry.admin_url}/v1/catalogue/seat-check"
     assert urllib3.request("PUT", url, json=ENTRY).status == 200
-    _until(lambda: _post(entry, "warm").status == 200)
+    _wait_until(lambda: _post(entry, "warm").status == 200)
     deployment.cell.backends.duration_ms = DURATION_MS
     answers: dict[int, urllib3.BaseHTTPResponse] = {}
 
@@ -46,15 +46,15 @@
 
     threads = [
         threading.Thread(target=call, args=(number,))
-        for number in range(IN_FLIGHT)
+        for number in range(REQUESTS_IN_FLIGHT)
     ]
     for thread in threads:
         thread.start()
-    _until(lambda: _callers(entry) == IN_FLIGHT)
+    _wait_until(lambda: _caller_count(entry) == REQUESTS_IN_FLIGHT)
     entry.process.send_signal(signal.SIGTERM)
-    _until(lambda: _ready(entry) == 503)
+    _wait_until(lambda: _ready_status(entry) == 503)
     refused = _post(entry, "late")
-    assert not answers or len(answers) < IN_FLIGHT
+    assert not answers or len(answers) < REQUESTS_IN_FLIGHT
     assert (refused.status, refused.json()["verdict"]) == (503, "not_run")
     assert refused.headers["Connection"] == "close"
     job = urllib3.request("POST", f"{entry.url}/v1/jobs", body=b"{}")
@@ -62,7 +62,7 @@
     for thread in threads:
         thread.join(WAIT_S)
     assert entry.process.wait(WAIT_S) == 0
-    for number in range(IN_FLIGHT):
+    for number in range(REQUESTS_IN_FLIGHT):
         assert answers[number].status == 200, answers[number].data
         assert answers[number].json()["echo"] == f"seat {number}"
     bodies = [run.body for run in deployment.cell.backends.history]
@@ -80,16 +80,16 @@
     )
 
 
-def _callers(entry: EntryProcess) -> int:
+def _caller_count(entry: EntryProcess) -> int:
     state = urllib3.request("GET", f"{entry.admin_url}/v1/state").json()
     return int(state["router"]["callers"])
 
 
-def _ready(entry: EntryProcess) -> int:
+def _ready_status(entry: EntryProcess) -> int:
     return urllib3.request("GET", f"{entry.admin_url}/v1/ready").status
 
 
-def _until(condition: Callable[[], bool]) -> None:
+def _wait_until(condition: Callable[[], bool]) -> None:
     deadline_s = time.monotonic() + WAIT_S
     while not condition():
         assert time.monotonic() < deadline_s
