--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.membership.contact import Contact
+from magnoliapitch.membership.liveness import Contact
 from magnoliapitch.membership.instance import InstanceState
 from magnoliapitch.membership.state import MemberState
 from magnoliapitch.membership.status import PeerStatus
