--- a/src/magnoliapitch/api/caller.py
+++ b/src/magnoliapitch/api/caller.py
@@ -106,8 +106,8 @@
             return problem_response(
                 not_run(
                     FailureCode.UNAVAILABLE,
-                    f"job {job_id} is unknown to this instance, and the log "
-                    "cannot be read",
+                    f"job {job_id} is unknown to this instance, which could "
+                    "not read the newest log records",
                     LOG_READ_TIMEOUT_MS,
                 ),
                 request.request_id,
--- a/src/magnoliapitch/api/catalogue.py
+++ b/src/magnoliapitch/api/catalogue.py
@@ -88,13 +88,15 @@
         try:
             entry = parse_entry(request.json())
         except (InvalidEntryError, ValueError) as error:
-            return _log_refusal(name, not_run(FailureCode.INVALID, str(error)))
+            return _logged_refusal(
+                name, not_run(FailureCode.INVALID, str(error))
+            )
         expected = _expected_version(core, request)
         if isinstance(expected, Err):
-            return _log_refusal(name, expected.err_value)
+            return _logged_refusal(name, expected.err_value)
         if entry.name != name:
             detail = f"name: found {entry.name!r}; the path says {name!r}"
-            return _log_refusal(name, not_run(FailureCode.INVALID, detail))
+            return _logged_refusal(name, not_run(FailureCode.INVALID, detail))
         version = expected.ok_value
         if request.query_by_name.get("dry_run") == "true":
             return json_response({"name": name, "valid": True})
@@ -107,7 +109,7 @@
             return problem_response(_unknown_entry(name))
         expected = _expected_version(core, request)
         if isinstance(expected, Err):
-            return _log_refusal(name, expected.err_value)
+            return _logged_refusal(name, expected.err_value)
         return _commit(core, name, CatalogueDelete(name, expected.ok_value))
 
 
@@ -119,7 +121,7 @@
         return problem_response(outcome.err_value)
     if not outcome.ok_value.applied:
         reason = outcome.ok_value.reason
-        return _log_refusal(name, not_run(FailureCode.CONFLICT, reason))
+        return _logged_refusal(name, not_run(FailureCode.CONFLICT, reason))
     deleted = isinstance(change, CatalogueDelete)
     log_event("catalogue-changed", entry=name, deleted=deleted)
     versioned = _find_entry(core, name)
@@ -135,7 +137,7 @@
     )
 
 
-def _log_refusal(name: str, failure: Failure) -> HttpResponse:
+def _logged_refusal(name: str, failure: Failure) -> HttpResponse:
     log_event("catalogue-refused", entry=name, reason=failure.detail)
     return problem_response(failure)
 
@@ -144,8 +146,8 @@
     core: EntryCore, request: HttpRequest
 ) -> Result[int, Failure]:
     current = _find_entry(core, request.path_values["name"])
-    given = request.headers_by_name.get("if-match")
-    if given is None:
+    if_match = request.headers_by_name.get("if-match")
+    if if_match is None:
         if current is None:
             return Ok(NO_VERSION)
         detail = (
@@ -153,14 +155,16 @@
             f'for example If-Match: "{current.version}"'
         )
         return Err(not_run(FailureCode.PRECONDITION_REQUIRED, detail))
-    text = given.strip().strip('"')
-    if not text.isascii() or not text.isdigit():
-        detail = f'If-Match: found {given!r}; must be a version such as "3"'
+    version_text = if_match.strip().strip('"')
+    if not version_text.isascii() or not version_text.isdigit():
+        detail = f'If-Match: found {if_match!r}; must be a version such as "3"'
         return Err(not_run(FailureCode.INVALID, detail))
-    version = int(text)
-    found = current.version if current else NO_VERSION
-    if version != found:
-        detail = f"If-Match: found version {version}; current is {found}"
+    version = int(version_text)
+    current_version = current.version if current else NO_VERSION
+    if version != current_version:
+        detail = (
+            f"If-Match: found version {version}; current is {current_version}"
+        )
         return Err(not_run(FailureCode.CONFLICT, detail))
     return Ok(version)
 
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -105,7 +105,7 @@
             self.clock,
             settings.platform.log_appends_per_s,
         )
-        self.snapshots = SnapshotWriter(self.journal)
+        self.snapshot_writer = SnapshotWriter(self.journal)
         self.membership = Membership(
             self.identity,
             self.journal,
@@ -162,7 +162,7 @@
         self.job_mover = JobMover(
             settings.zone, self.journal, self.claimer, self.clock
         )
-        self._link = link
+        self._peer_link = link
 
     def steps(self, wait_ms: int = 0) -> tuple[NamedStep, ...]:
         """Return the steps, in the order in which to start their threads.
@@ -182,7 +182,7 @@
                 "platform",
             ),
             NamedStep("presence", self.membership_recorder.step),
-            NamedStep("snapshots", self.snapshots.step, "platform"),
+            NamedStep("snapshots", self.snapshot_writer.step, "platform"),
             NamedStep("fleet", self.fleet.refresh_step, "platform"),
             NamedStep("heartbeat", self._heartbeat_step),
             NamedStep("claimer", self.claimer.claim_step),
@@ -307,7 +307,7 @@
 
     def _heartbeat_step(self) -> int:
         self.membership.loads = self.router.loads()
-        return self.membership.heartbeat_step(self._link)
+        return self.membership.heartbeat_step(self._peer_link)
 
     def _caller_url(self) -> str:
         port = self.settings.listeners.caller_port
--- a/src/magnoliapitch/entry/job_service.py
+++ b/src/magnoliapitch/entry/job_service.py
@@ -52,9 +52,9 @@
 
         Submitting the same job again succeeds without effect.
         """
-        known_job = self._outcome_of_known(job)
-        if known_job is not None:
-            return known_job
+        known_outcome = self._outcome_of_known(job)
+        if known_outcome is not None:
+            return known_outcome
         unit = self.choose_unit(job)
         if isinstance(unit, Err):
             return unit
--- a/src/magnoliapitch/membership/fleet.py
+++ b/src/magnoliapitch/membership/fleet.py
@@ -19,7 +19,7 @@
 
 
 REFRESH_INTERVAL_MS = 1_500
-EVERY_ZONE = ""
+ALL_ZONES = ""
 
 _Index = dict["tuple[InstanceRole, str]", "tuple[InstanceInfo, ...]"]
 
@@ -37,7 +37,7 @@
         self.is_fresh = False
         self.generation = 0
         self._instance_list = instance_list
-        self._listed: tuple[InstanceInfo, ...] = ()
+        self._instances: tuple[InstanceInfo, ...] = ()
         self._by_id: dict[str, InstanceInfo] = {}
         self._by_role_and_zone: _Index = {}
         self._was_fresh: bool | None = None
@@ -58,20 +58,20 @@
         return self._by_id.get(instance_id)
 
     def of_role(
-        self, role: InstanceRole, zone: str = EVERY_ZONE
+        self, role: InstanceRole, zone: str = ALL_ZONES
     ) -> tuple[InstanceInfo, ...]:
         """Return the instances of a role, in one zone or in all."""
         return self._by_role_and_zone.get((role, zone), ())
 
-    def _update(self, listed: tuple[InstanceInfo, ...]) -> None:
-        if listed == self._listed:
+    def _update(self, instances: tuple[InstanceInfo, ...]) -> None:
+        if instances == self._instances:
             return
         index: dict[tuple[InstanceRole, str], list[InstanceInfo]] = {}
-        for item in listed:
-            for zone in (item.zone, EVERY_ZONE):
+        for item in instances:
+            for zone in (item.zone, ALL_ZONES):
                 index.setdefault((item.role, zone), []).append(item)
-        self._listed = listed
-        self._by_id = {item.instance_id: item for item in listed}
+        self._instances = instances
+        self._by_id = {item.instance_id: item for item in instances}
         self._by_role_and_zone = {
             key: tuple(items) for key, items in index.items()
         }
--- a/src/magnoliapitch/membership/http_instance_list.py
+++ b/src/magnoliapitch/membership/http_instance_list.py
@@ -29,7 +29,7 @@
     instances: tuple[InstanceInfo, ...]
 
 
-_ADAPTER = TypeAdapter(InstanceListResponse)
+_RESPONSE_ADAPTER = TypeAdapter(InstanceListResponse)
 
 
 class HttpInstanceList:
@@ -43,9 +43,9 @@
 
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
         """Fetch all listed instances."""
-        answer = self._client.call("GET", "/instances")
-        listed = answer.and_then(
-            lambda value: validate_response(_ADAPTER, value)
+        response = self._client.call("GET", "/instances")
+        listed = response.and_then(
+            lambda value: validate_response(_RESPONSE_ADAPTER, value)
         )
         return listed.map(lambda found: found["instances"])
 
--- a/src/magnoliapitch/membership/liveness.py
+++ b/src/magnoliapitch/membership/liveness.py
@@ -13,7 +13,7 @@
 NEVER_MS = -(1 << 40)
 
 
-class Contact:
+class PeerLiveness:
     """Liveness of one incarnation, as seen by this instance.
 
     The two directions are tracked separately: in a one-way network
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -44,7 +44,8 @@
     :param seed_addresses: ``IP:PORT`` of peers to contact even if not listed.
     :ivar loads: free capacity of the own units, sent with heartbeats.
     :ivar leaving: whether this instance is about to stop.
-    :ivar completed_rounds: rounds of heartbeats since the first peer answered.
+    :ivar completed_rounds: number of rounds of heartbeats completed since
+        the first peer was heard.
     """
 
     def __init__(
@@ -73,8 +74,8 @@
     ) -> Heartbeat:
         """Build a heartbeat of this instance.
 
-        :param recipient: incarnation of the receiver; the heartbeat tells it
-            when this instance last heard it.
+        :param recipient: incarnation of the receiver, empty if unknown; the
+            heartbeat tells it when this instance last heard it.
         :param whole_zone: whether to list every member of the own zone.
         """
         next_offset = self._journal.next_offset
@@ -152,7 +153,7 @@
             return own is not None and own.left
 
     def applied_everywhere(self) -> AppliedEverywhere:
-        """Return up to which offset the log is in force everywhere."""
+        """Return up to which offset all instances have applied the log."""
         peers = self.peers()
         own = self._zone_info(self._journal.next_offset, peers)
         now_ms = self._clock.now_ms()
@@ -174,7 +175,7 @@
         found = []
         for peer in self.peers():
             with self._lock:
-                heartbeat = self._table.contact(
+                heartbeat = self._table.liveness(
                     peer.join.incarnation
                 ).heartbeat
             if heartbeat is not None and peer.state in RESPONSIVE_STATES:
@@ -229,11 +230,11 @@
             members = dict(state.members_by_incarnation)
         with self._lock:
             joins = self._table.joins()
-        for name, member in members.items():
+        for incarnation, member in members.items():
             if member.left:
-                joins.pop(name, None)
+                joins.pop(incarnation, None)
             else:
-                joins[name] = member.join
+                joins[incarnation] = member.join
         joins.pop(self.identity.incarnation, None)
         return list(joins.values())
 
@@ -249,7 +250,7 @@
             failing = self._table.failing(now_ms)
             for join in linked_members(self._own_join, joins, failing):
                 if self._table.is_due(join, now_ms, self._round):
-                    self._table.contact(
+                    self._table.liveness(
                         join.incarnation
                     ).last_called_ms = now_ms
                     due[join.peer_address] = join.incarnation
@@ -274,9 +275,9 @@
         self, next_offset: int, peers: tuple[PeerStatus, ...]
     ) -> ZoneInfo:
         zone = self.identity.zone
-        near = [peer for peer in peers if peer.join.zone == zone]
+        zone_peers = [peer for peer in peers if peer.join.zone == zone]
         return own_zone_info(
-            zone, self.identity.instance_id, next_offset, near
+            zone, self.identity.instance_id, next_offset, zone_peers
         )
 
     def _log_age_ms(self) -> int:
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -59,6 +59,8 @@
         self._pending_presence: Pending | None = None
         self._presence_queued_ms = clock.now_ms()
         self._pending_leaves_by_incarnation: dict[str, Pending] = {}
+        # Start of the silence in local time, and the offset of the newest
+        # record of the member at that time.
         self._silence_by_incarnation: dict[str, tuple[int, int]] = {}
 
     def step(self) -> int:
@@ -104,12 +106,12 @@
             member = state.members_by_incarnation.get(incarnation)
         if member is None:
             return False
-        known = self._silence_by_incarnation.get(incarnation)
+        last_silence = self._silence_by_incarnation.get(incarnation)
         is_silent = peer.state in (MemberState.SUSPECT, MemberState.JOINING)
         is_listed = self._is_listed(peer.join.instance_id)
         if (
-            known is None
-            or known[1] != member.presence_offset
+            last_silence is None
+            or last_silence[1] != member.presence_offset
             or not is_silent
             or is_listed
         ):
@@ -119,7 +121,7 @@
         gone_after_ms = GONE_AFTER_MS
         if peer.join.zone != self._membership.identity.zone:
             gone_after_ms = REMOTE_GONE_AFTER_MS
-        return now_ms - known[0] >= gone_after_ms
+        return now_ms - last_silence[0] >= gone_after_ms
 
     def _is_listed(self, instance_id: str) -> bool:
         """Return whether the platform may still list an entry instance.
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -8,8 +8,8 @@
 from typing import TypeVar
 
 from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.membership.liveness import Contact
 from magnoliapitch.membership.instance import InstanceState
+from magnoliapitch.membership.liveness import PeerLiveness
 from magnoliapitch.membership.state import MemberState
 from magnoliapitch.membership.status import PeerStatus
 from magnoliapitch.peer.message import MemberInfo
@@ -50,7 +50,7 @@
         self.seen_offset = 0
         self._identity = identity
         self._fleet = fleet
-        self._contacts_by_incarnation: dict[str, Contact] = {}
+        self._liveness_by_incarnation: dict[str, PeerLiveness] = {}
         self._joins_by_incarnation: dict[str, EntryJoin] = {}
         self._reports_by_zone: dict[str, tuple[int, ZoneInfo]] = {}
         self._rotation = itertools.count()
@@ -59,13 +59,15 @@
     def has_heard_peer(self) -> bool:
         """Whether any heartbeat has arrived from any peer."""
         return any(
-            contact.heartbeat is not None
-            for contact in self._contacts_by_incarnation.values()
+            liveness.heartbeat is not None
+            for liveness in self._liveness_by_incarnation.values()
         )
 
-    def contact(self, incarnation: str) -> Contact:
+    def liveness(self, incarnation: str) -> PeerLiveness:
         """Return the liveness of an incarnation, creating it if needed."""
-        return self._contacts_by_incarnation.setdefault(incarnation, Contact())
+        return self._liveness_by_incarnation.setdefault(
+            incarnation, PeerLiveness()
+        )
 
     def record_heartbeat(
         self, heartbeat: Heartbeat, now_ms: int, delivered_ms: int | None
@@ -77,11 +79,13 @@
         """
         if heartbeat.incarnation == self._identity.incarnation:
             return
-        contact = self.contact(heartbeat.incarnation)
-        contact.record_heartbeat(heartbeat, now_ms, self._identity.incarnation)
+        liveness = self.liveness(heartbeat.incarnation)
+        liveness.record_heartbeat(
+            heartbeat, now_ms, self._identity.incarnation
+        )
         if delivered_ms is not None:
-            contact.last_delivered_ms = max(
-                contact.last_delivered_ms, delivered_ms
+            liveness.last_delivered_ms = max(
+                liveness.last_delivered_ms, delivered_ms
             )
         self._joins_by_incarnation[heartbeat.incarnation] = EntryJoin(
             heartbeat.instance_id,
@@ -108,28 +112,28 @@
 
         :param members: members in the log, by incarnation.
         """
-        for incarnation, contact in tuple(
-            self._contacts_by_incarnation.items()
+        for incarnation, liveness in tuple(
+            self._liveness_by_incarnation.items()
         ):
             member = members.get(incarnation)
             has_left = member is not None and member.left
-            is_silent = now_ms - contact.last_seen_ms > FORGET_AFTER_MS
+            is_silent = now_ms - liveness.last_seen_ms > FORGET_AFTER_MS
             if has_left or is_silent:
                 self._joins_by_incarnation.pop(incarnation, None)
             if has_left or (is_silent and member is None):
-                del self._contacts_by_incarnation[incarnation]
+                del self._liveness_by_incarnation[incarnation]
 
     def status(self, join: EntryJoin, now_ms: int) -> PeerStatus:
         """Return the status of a member."""
-        contact = self.contact(join.incarnation)
-        heartbeat = contact.heartbeat
+        liveness = self.liveness(join.incarnation)
+        heartbeat = liveness.heartbeat
         return PeerStatus(
             join,
-            self._state(join, contact, now_ms),
-            contact.next_offset,
-            contact.last_heartbeat_ms if heartbeat else -1,
+            self._state(join, liveness, now_ms),
+            liveness.next_offset,
+            liveness.last_heartbeat_ms if heartbeat else -1,
             heartbeat.loads if heartbeat else (),
-            self._is_one_way(join, contact, now_ms),
+            self._is_one_way(join, liveness, now_ms),
         )
 
     def is_due(self, join: EntryJoin, now_ms: int, round_number: int) -> bool:
@@ -140,8 +144,8 @@
         calls succeed. Heartbeats to other zones are sent only every
         second round. Failing links are tried in every round.
         """
-        contact = self.contact(join.incarnation)
-        silent_ms = now_ms - contact.last_two_way_ms
+        liveness = self.liveness(join.incarnation)
+        silent_ms = now_ms - liveness.last_two_way_ms
         if silent_ms > 2 * HEARTBEAT_INTERVAL_MS:
             return True
         if join.zone != self._identity.zone:
@@ -155,9 +159,9 @@
         """
         return {
             incarnation
-            for incarnation, contact in self._contacts_by_incarnation.items()
-            if contact.was_called
-            and now_ms - contact.last_two_way_ms > REMOTE_SUSPECT_AFTER_MS
+            for incarnation, liveness in self._liveness_by_incarnation.items()
+            if liveness.was_called
+            and now_ms - liveness.last_two_way_ms > REMOTE_SUSPECT_AFTER_MS
         }
 
     def gossip(
@@ -202,7 +206,7 @@
     def _record_member(self, member: MemberInfo, now_ms: int) -> None:
         if member.incarnation == self._identity.incarnation:
             return
-        self.contact(member.incarnation).record_relayed(member, now_ms)
+        self.liveness(member.incarnation).record_relayed(member, now_ms)
         self._joins_by_incarnation.setdefault(
             member.incarnation,
             EntryJoin(
@@ -217,18 +221,18 @@
         if report.zone == self._identity.zone:
             return
         reported_ms = now_ms - report.age_ms
-        known = self._reports_by_zone.get(report.zone)
-        if known is None or known[0] < reported_ms:
+        current = self._reports_by_zone.get(report.zone)
+        if current is None or current[0] < reported_ms:
             self._reports_by_zone[report.zone] = (reported_ms, report)
 
     def _state(
-        self, join: EntryJoin, contact: Contact, now_ms: int
+        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
     ) -> MemberState:
-        if not contact.was_seen:
+        if not liveness.was_seen:
             return MemberState.JOINING
-        if not self._is_responsive(join, contact, now_ms):
+        if not self._is_responsive(join, liveness, now_ms):
             return MemberState.SUSPECT
-        if contact.heartbeat is not None and contact.heartbeat.leaving:
+        if liveness.heartbeat is not None and liveness.heartbeat.leaving:
             return MemberState.LEAVING
         listed = self._fleet.get(join.instance_id) if self._fleet else None
         if listed is not None and listed.state is InstanceState.LEAVING:
@@ -236,23 +240,23 @@
         return MemberState.LIVE
 
     def _is_responsive(
-        self, join: EntryJoin, contact: Contact, now_ms: int
+        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
     ) -> bool:
-        if now_ms - contact.last_two_way_ms <= self._suspect_after_ms(join):
+        if now_ms - liveness.last_two_way_ms <= self._suspect_after_ms(join):
             return True
         if join.zone == self._identity.zone:
             return False
-        if contact.was_called and self._is_one_way(join, contact, now_ms):
+        if liveness.was_called and self._is_one_way(join, liveness, now_ms):
             return False
-        return now_ms - contact.last_relayed_ms <= RELAYED_SUSPECT_AFTER_MS
+        return now_ms - liveness.last_relayed_ms <= RELAYED_SUSPECT_AFTER_MS
 
     def _is_one_way(
-        self, join: EntryJoin, contact: Contact, now_ms: int
+        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
     ) -> bool:
         suspect_after_ms = self._suspect_after_ms(join)
-        is_heard = now_ms - contact.last_heartbeat_ms <= suspect_after_ms
+        is_heard = now_ms - liveness.last_heartbeat_ms <= suspect_after_ms
         return (
-            is_heard and now_ms - contact.last_delivered_ms > suspect_after_ms
+            is_heard and now_ms - liveness.last_delivered_ms > suspect_after_ms
         )
 
     def _suspect_after_ms(self, join: EntryJoin) -> int:
@@ -262,19 +266,19 @@
 
     def _member_info(self, incarnation: str, now_ms: int) -> MemberInfo:
         join = self._joins_by_incarnation[incarnation]
-        contact = self.contact(incarnation)
+        liveness = self.liveness(incarnation)
         is_direct = (
-            now_ms - contact.last_heartbeat_ms <= RELAYED_SUSPECT_AFTER_MS
+            now_ms - liveness.last_heartbeat_ms <= RELAYED_SUSPECT_AFTER_MS
         )
         last_seen_ms = (
-            contact.last_heartbeat_ms if is_direct else contact.last_seen_ms
+            liveness.last_heartbeat_ms if is_direct else liveness.last_seen_ms
         )
         return MemberInfo(
             join.instance_id,
             join.incarnation,
             join.zone,
             join.peer_address,
-            contact.next_offset,
+            liveness.next_offset,
             min(now_ms - last_seen_ms, AGE_MAX_MS),
             is_direct,
         )
--- a/src/magnoliapitch/membership/topology.py
+++ b/src/magnoliapitch/membership/topology.py
@@ -27,11 +27,11 @@
     others = sorted(zone for zone in set(zones) if zone != own.zone)
     if not others:
         return ()
-    later = [zone for zone in others if zone > own.zone]
-    following = later[0] if later else others[0]
-    others.remove(following)
+    later_zones = [zone for zone in others if zone > own.zone]
+    next_zone = later_zones[0] if later_zones else others[0]
+    others.remove(next_zone)
     others.sort(key=lambda zone: stable_hash(own.incarnation, zone))
-    return (following, *others[: MAX_REMOTE_LINKS - 1])
+    return (next_zone, *others[: MAX_REMOTE_LINKS - 1])
 
 
 def linked_members(
--- a/tests/journal/test_history.py
+++ b/tests/journal/test_history.py
@@ -71,7 +71,7 @@
     def start(self, name: str) -> None:
         seeds = tuple(item for item in NAMES if item != name)
         core = self.group.add(name, seeds=seeds)
-        core.snapshots = SnapshotWriter(core.journal, SNAPSHOT_RECORDS)
+        core.snapshot_writer = SnapshotWriter(core.journal, SNAPSHOT_RECORDS)
 
     def run(self, duration_ms: int) -> None:
         self.group.run(duration_ms)
