--- a/src/magnoliapitch/api/caller.py
+++ b/src/magnoliapitch/api/caller.py
@@ -102,7 +102,7 @@
         found = core.job_status(job_id)
         if found is not None:
             return json_response(found)
-        if not core.journal.wait_fresh(LOG_READ_TIMEOUT_MS):
+        if not core.journal.wait_until_caught_up(LOG_READ_TIMEOUT_MS):
             return problem_response(
                 not_run(
                     FailureCode.UNAVAILABLE,
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -120,7 +120,9 @@
             self.clock,
             self._handle_superseded,
         )
-        self.journal.follower.source = PeerLogSource(self.membership, link)
+        self.journal.follower.peer_source = PeerLogSource(
+            self.membership, link
+        )
         self.claimer = Claimer(
             self.identity,
             self.journal,
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -17,7 +17,7 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
@@ -56,9 +56,9 @@
         self._fleet = fleet
         self._clock = clock
         self._on_superseded = on_superseded
-        self._pending_presence: Pending | None = None
+        self._pending_presence: PendingEntry | None = None
         self._presence_queued_ms = clock.now_ms()
-        self._pending_leaves_by_incarnation: dict[str, Pending] = {}
+        self._pending_leaves_by_incarnation: dict[str, PendingEntry] = {}
         # Start of the silence in local time, and the offset of the newest
         # record of the member at that time.
         self._silence_by_incarnation: dict[str, tuple[int, int]] = {}
@@ -91,7 +91,10 @@
         self._presence_queued_ms = now_ms
 
     def _remove_gone(self, now_ms: int) -> None:
-        if self._journal.follower.is_log_away or not self._fleet.is_fresh:
+        if (
+            self._journal.follower.is_log_unavailable
+            or not self._fleet.is_fresh
+        ):
             self._silence_by_incarnation.clear()
             return
         for peer in self._membership.peers():
--- a/src/magnoliapitch/membership/relay.py
+++ b/src/magnoliapitch/membership/relay.py
@@ -68,7 +68,7 @@
             ),
         )
 
-    def floor(self) -> int | None:
+    def highest_known_offset(self) -> int | None:
         """Return the highest offset that any reachable peer knows of.
 
         The first peers to answer may name others that are further ahead,
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending import Pending
+    from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
@@ -63,7 +63,7 @@
         self._clock = clock
         self._zone_members = ZoneMembers(identity.zone)
         self._lock = threading.RLock()
-        self._pending_by_unit: dict[str, Pending] = {}
+        self._pending_by_unit: dict[str, PendingEntry] = {}
         self._owned_since_ms_by_claim: dict[tuple[str, int], int] = {}
         self._release_started_ms_by_unit: dict[str, int] = {}
         self._members: frozenset[str] = frozenset()
@@ -150,7 +150,7 @@
             running = self._zone_members.running_predecessors(claim)
             stopped_at_ms = self._zone_members.stopped_at_ms(claim, now_ms)
             is_releasing = unit in self._release_started_ms_by_unit
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         return slot_share(
             claim,
             now_ms,
@@ -181,7 +181,7 @@
             self._members_since_ms = now_ms
 
     def _is_log_fresh(self, now_ms: int) -> bool:
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         return read_ms is not None and now_ms - read_ms <= LOG_MAX_AGE_MS
 
     def _rebalance(self, now_ms: int) -> None:
--- a/src/magnoliapitch/request/dispatch_fence.py
+++ b/src/magnoliapitch/request/dispatch_fence.py
@@ -112,7 +112,7 @@
         return FENCING_TIMEOUT_MS + longest_request_ms
 
     def _may_trust_claims(self, now_ms: int) -> bool:
-        read_ms = self._journal.last_read_ms
+        read_ms = self._journal.last_caught_up_ms
         if read_ms is not None and now_ms - read_ms <= FENCING_TIMEOUT_MS:
             return True
         identity = self._membership.identity
--- a/tests/journal/test_job_move.py
+++ b/tests/journal/test_job_move.py
@@ -4,7 +4,6 @@
 
 from magnoliapitch.job.spec import JobSpec
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.fold import apply_record
 from magnoliapitch.journal.log import LogRecord
 from magnoliapitch.journal.record import EntryJoin
 from magnoliapitch.journal.record import EntryPresence
@@ -14,6 +13,7 @@
 from magnoliapitch.journal.record import RecordEntry
 from magnoliapitch.journal.record import UnitClaim
 from magnoliapitch.journal.state import ClusterState
+from magnoliapitch.journal.state_machine import apply_record
 from magnoliapitch.resource import Resources
 
 
@@ -33,7 +33,7 @@
         (MoveReason.BALANCE, -1, "other"),
     ],
 )
-def test_job_move_of_a_cut_zone_fails_after_a_newer_presence(
+def test_job_move_out_of_a_cut_zone_is_rejected_after_a_newer_heartbeat(
     reason: MoveReason, seen_offset: int, unit: str
 ) -> None:
     state = ClusterState()
