--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -58,7 +58,7 @@
 
 BODY_MAX_BYTES = 1 << 20
 CALLER_THREADS = 24
-READINESS_THREADS = 2
+MONITORING_THREADS = 2
 PEER_THREADS = 4
 CONFIGURATION_WAIT_MS = 700
 CONFIGURATION_RETRY_MS = 200
@@ -201,14 +201,14 @@
                 "readiness",
                 _address(listen.readiness),
                 readiness,
-                READINESS_THREADS,
+                MONITORING_THREADS,
                 STOP_TIMEOUT_S,
             ),
             Listener(
                 "metrics",
                 (ip, listen.metrics_port),
                 metrics,
-                READINESS_THREADS,
+                MONITORING_THREADS,
                 STOP_TIMEOUT_S,
             ),
             Listener(
--- a/src/magnoliapitch/membership/liveness.py
+++ b/src/magnoliapitch/membership/liveness.py
@@ -10,7 +10,7 @@
     from magnoliapitch.peer.message import MemberInfo
 
 
-NEVER_MS = -(1 << 40)
+NEVER_MS = -(1 << 40)  # before any time of the local clock
 
 
 class PeerLiveness:
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -266,6 +266,7 @@
         }
 
     def _listed_addresses(self) -> tuple[str, ...]:
+        """Return the seeds and the listed instances of the own zone."""
         if self._fleet is None:
             return self._seed_addresses
         listed = self._fleet.of_role(InstanceRole.ENTRY, self.identity.zone)
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -138,7 +138,7 @@
     def _is_responsible(self, peer: PeerStatus) -> bool:
         """Return whether this instance is to append a peer's leave record.
 
-        Among the live instances of each zone, a hash selects one.
+        In each zone, the live instance with the lowest hash is responsible.
         """
         own = self._membership.identity.incarnation
         incarnations = [
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -28,7 +28,7 @@
 ItemT = TypeVar("ItemT")
 
 HEARTBEAT_INTERVAL_MS = 1_000
-REMOTE_HEARTBEAT_ROUNDS = 2  # rounds for one heartbeat to other zones
+ROUNDS_PER_REMOTE_HEARTBEAT = 2
 SUSPECT_AFTER_MS = 2_500
 REMOTE_SUSPECT_AFTER_MS = 6_000
 RELAYED_SUSPECT_AFTER_MS = 15_000
@@ -149,7 +149,7 @@
         if silent_ms > 2 * HEARTBEAT_INTERVAL_MS:
             return True
         if join.zone != self._identity.zone:
-            return round_number % REMOTE_HEARTBEAT_ROUNDS == 0
+            return round_number % ROUNDS_PER_REMOTE_HEARTBEAT == 0
         return self._identity.incarnation < join.incarnation
 
     def failing(self, now_ms: int) -> set[str]:
--- a/tests/process/test_job_node.py
+++ b/tests/process/test_job_node.py
@@ -52,7 +52,9 @@
         self.runners = [StandinRunner(f"i-{number}") for number in range(2)]
         self.http = urllib3.PoolManager(retries=False)
         for runner in self.runners:
-            self.store.put("keyed.servers", runner.runner_id, _entry(runner))
+            self.store.put(
+                "keyed.servers", runner.runner_id, _server_record(runner)
+            )
         body = {"version": 1, "routes": [QUEUE], "services": [{"name": "app"}]}
         self.store.put("keyed.op", "config", body)
         self.addresses = [f"{LOOPBACK}:{_free_port()}" for _ in range(2)]
@@ -116,7 +118,7 @@
         return int(probe.getsockname()[1])
 
 
-def _entry(runner: StandinRunner) -> dict[str, object]:
+def _server_record(runner: StandinRunner) -> dict[str, object]:
     return {
         "service": "app",
         "address": runner.address,
@@ -160,7 +162,7 @@
     ]
 
 
-def test_a_job_submitted_again_elsewhere_stays_one(cluster: Cluster) -> None:
+def test_a_job_submitted_to_two_instances_runs_once(cluster: Cluster) -> None:
     assert cluster.submit("00000000000000a2", 0) == 200
     assert cluster.submit("00000000000000a2", 1) == 200
     wait_until(lambda: cluster.state("00000000000000a2") == "completed")
@@ -184,7 +186,7 @@
     assert len(names) == len(set(names))
 
 
-def test_the_history_may_expire_at_any_time(cluster: Cluster) -> None:
+def test_jobs_run_after_stored_records_have_expired(cluster: Cluster) -> None:
     for topic in ("jobs", "states", "runs", "servers", "op", "members"):
         cluster.store.expire(f"keyed.{topic}")
     assert cluster.submit("00000000000000a3") == 200
--- a/tests/process/test_request_fault.py
+++ b/tests/process/test_request_fault.py
@@ -58,12 +58,12 @@
             name = f"c{self.number}-{count}"
             headers = {"Idempotency-Key": name}
             if count % 2:
-                headers = {"Ticket": self.issue_ticket()}
+                headers = {"Ticket": self.request_ticket()}
             for attempt in range(4):
                 if self.send(f"{name}-{attempt}", name, headers):
                     break
 
-    def issue_ticket(self) -> str:
+    def request_ticket(self) -> str:
         while True:
             url = f"{self.random.choice(self.entries).url}/v1/tickets"
             try:
