--- a/src/magnoliapitch/standin/audit.py
+++ b/src/magnoliapitch/standin/audit.py
@@ -1,4 +1,4 @@
-"""Stand-in workers that check every start against the promises."""
+"""Stand-in workers that check guarantees at every start."""
 
 from __future__ import annotations
 
@@ -24,9 +24,11 @@
 
 
 class AuditedWorkers(StandinWorkers):
-    """Workers that note when capacity or singleness is broken.
+    """Workers that record violations of two guarantees.
 
-    Unreachable workers count too, since their tasks run on.
+    The tasks on a worker never reserve more than its capacity, and a task
+    never runs on two workers at once. Unreachable workers are checked too,
+    since their tasks continue to run.
     """
 
     def __init__(
@@ -41,56 +43,62 @@
     def start(
         self, worker: InstanceInfo, grants: tuple[LeaseGrant, ...]
     ) -> Result[WorkerView, Failure]:
-        """Start tasks and check all workers."""
+        """Start leases and check the guarantees afterwards."""
         outcome = super().start(worker, grants)
         with self._lock:
             self._check_capacity(self.by_id[worker.instance_id])
-            self._check_places()
+            self._check_single_worker()
         return outcome
 
     def problems(self) -> tuple[str, ...]:
-        """Return what was broken, without repetition."""
+        """Return descriptions of the violations, each once."""
         return tuple(dict.fromkeys(self._problems))
 
-    def used_share(self) -> float:
-        """Return the share of all processors that tasks use now."""
+    def reserved_cpu_share(self) -> float:
+        """Return the share of all workers' processors that tasks reserve now.
+
+        :return: ratio of reserved to total processors.
+        """
         with self._lock:
-            used = 0
+            reserved = 0
             capacity = 0
             for target in self.by_id.values():
-                used += target.used().cpu_millis
+                reserved += target.reserved().cpu_millis
                 capacity += target.info.capacity.cpu_millis
-        return used / capacity
+        return reserved / capacity
 
-    def running_worker(self) -> str | None:
-        """Return the id of a reachable worker that runs a task."""
+    def find_running_worker(self) -> str | None:
+        """Return the id of a reachable worker that runs a task, if any."""
         with self._lock:
             for worker_id, target in self.by_id.items():
-                if not target.down and target.used().cpu_millis:
+                if not target.down and target.reserved().cpu_millis:
                     return worker_id
         return None
 
     def _check_capacity(self, target: StandinWorker) -> None:
-        used = target.used()
-        if not used.fits(target.info.capacity):
+        reserved = target.reserved()
+        if not reserved.fits(target.info.capacity):
             worker_id = target.info.instance_id
-            self._problems.append(f"{worker_id} holds {used}")
+            self._problems.append(
+                f"tasks on {worker_id} reserve {reserved}; "
+                f"its capacity is {target.info.capacity}"
+            )
 
-    def _check_places(self) -> None:
-        workers_by_task: dict[tuple[str, int], str] = {}
+    def _check_single_worker(self) -> None:
+        worker_by_task: dict[tuple[str, int], str] = {}
         for worker_id, target in self.by_id.items():
             for lease in target.view().leases:
-                name = parse_lease_id(lease.lease_id)
+                key = parse_lease_id(lease.lease_id)
                 if (
-                    name is None
+                    key is None
                     or lease.kind is not LeaseKind.TASK
                     or lease.state is not LeaseState.RUNNING
                 ):
                     continue
-                task = (name.job_id, name.task)
-                other = workers_by_task.setdefault(task, worker_id)
-                if other != worker_id:
+                task = (key.job_id, key.task)
+                other_id = worker_by_task.setdefault(task, worker_id)
+                if other_id != worker_id:
                     self._problems.append(
-                        f"task {name.task} of {name.job_id} runs on {other} "
-                        f"and {worker_id}"
+                        f"task {key.task} of {key.job_id} runs on "
+                        f"{other_id} and {worker_id}"
                     )
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -115,15 +115,19 @@
     instance = simulation.instances_by_id[owner]
     instance.environment.is_log_unreachable = True
     others = {item.address for item in simulation.instances_by_id.values()}
-    simulation.network.cuts |= {(instance.address, other) for other in others}
-    simulation.network.cuts |= {(other, instance.address) for other in others}
+    simulation.network.blocked_links |= {
+        (instance.address, other) for other in others
+    }
+    simulation.network.blocked_links |= {
+        (other, instance.address) for other in others
+    }
     simulation.run(2 * TAKEOVER_MAX_MS, TICK_MS)
     assert owner_seen_through_the_log(simulation) != owner
     phases = instance.core.job_manager.dump()["workers"]
     assert isinstance(phases, dict)
     assert set(phases.values()) == {"yielded"}
     instance.environment.is_log_unreachable = False
-    simulation.network.cuts.clear()
+    simulation.network.blocked_links.clear()
     finish_all_jobs(simulation)
 
 
@@ -150,10 +154,10 @@
         if name != owner:
             other.environment.unreachable_workers.add("norte-worker-1")
             pair = (instance.address, other.address)
-            simulation.network.cuts |= {pair, (pair[1], pair[0])}
+            simulation.network.blocked_links |= {pair, (pair[1], pair[0])}
     instance.environment.unreachable_workers.add("norte-worker-2")
     simulation.run(60_000, 500)
-    simulation.network.cuts.clear()
+    simulation.network.blocked_links.clear()
     instance.environment.is_log_unreachable = False
     for other in simulation.instances_by_id.values():
         other.environment.unreachable_workers.clear()
@@ -205,12 +209,12 @@
     instance = simulation.add_instance("norte-0", "norte")
     instance.environment.is_log_unreachable = True
     for other in simulation.instances_by_id.values():
-        simulation.network.cuts.add((instance.address, other.address))
-        simulation.network.cuts.add((other.address, instance.address))
+        simulation.network.blocked_links.add((instance.address, other.address))
+        simulation.network.blocked_links.add((other.address, instance.address))
     simulation.run(30_000, 500)
     assert instance.core.claimer.owned_claims() == {}
     assert instance.environment.append(b"") == instance.environment.instances()
     assert instance.environment.append(b"").err() == UNREACHABLE
     instance.environment.is_log_unreachable = False
-    simulation.network.cuts.clear()
+    simulation.network.blocked_links.clear()
     finish_all_jobs(simulation)
