--- a/tests/api/test_openapi.py
+++ b/tests/api/test_openapi.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.http import Listener
-    from tests.api.conftest import RunningCell
+    from tests.api.conftest import RunningCluster
 
 
 OPENAPI_PATH = Path(__file__).parents[2] / "docs" / "openapi.json"
@@ -30,9 +30,9 @@
 
 
 def _registered_listeners(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> dict[tuple[str, str], Listener]:
-    node = running.cell.entries[0]
+    node = running.cluster.entries[0]
     return {
         (route.method, route.path): listener
         for listener in (node.caller_listener, node.admin_listener)
@@ -41,13 +41,13 @@
 
 
 def test_openapi_lists_exactly_the_registered_routes(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     assert set(_documented_operations()) == set(_registered_listeners(running))
 
 
 def test_openapi_lists_every_status_that_is_answered(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     listener_by_route = _registered_listeners(running)
     operations = _documented_operations()
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -98,12 +98,12 @@
     """Stand-in platform in this process, entry instances in others."""
 
     def __init__(self, folder: Path) -> None:
-        self.cell = StandinCluster(QUETZALTENANGO_SHAPE)
+        self.cluster = StandinCluster(QUETZALTENANGO_SHAPE)
         self.server = StandinServer(
-            self.cell.log,
-            self.cell.instance_list,
-            self.cell.workers,
-            self.cell.backends,
+            self.cluster.log,
+            self.cluster.instance_list,
+            self.cluster.workers,
+            self.cluster.backends,
         )
         self.server.start()
         self.entries: list[EntryProcess] = []
