--- a/src/magnoliapitch/bench/decisions/audit.py
+++ b/src/magnoliapitch/bench/decisions/audit.py
@@ -41,7 +41,7 @@
         del self._capacity_by_worker[worker_id]
         for placement in list(self._placements_by_task.values()):
             if placement.worker_id == worker_id:
-                self.release(placement.task_id)
+                self.release(placement.attempt_id)
         del self._reserved_by_worker[worker_id]
 
     def check_decision(
@@ -70,21 +70,21 @@
                     f"of its {task.gang_size} tasks"
                 )
 
-    def resize(self, task_id: str, reserved: Resources) -> None:
+    def resize(self, attempt_id: str, reserved: Resources) -> None:
         """Replace the reservation of a running attempt.
 
         :raises InvalidDecisionError: if the worker's reservations would
             exceed its capacity.
         """
-        placement = self._placements_by_task.get(task_id)
+        placement = self._placements_by_task.get(attempt_id)
         if placement is None:
             return
-        self.release(task_id)
+        self.release(attempt_id)
         self._reserve(placement._replace(reserved=reserved))
 
-    def release(self, task_id: str) -> None:
+    def release(self, attempt_id: str) -> None:
         """Remove the reservation of an ended attempt."""
-        placement = self._placements_by_task.pop(task_id, None)
+        placement = self._placements_by_task.pop(attempt_id, None)
         if placement is None:
             return
         reserved = self._reserved_by_worker[placement.worker_id]
@@ -99,16 +99,16 @@
         return total
 
     def _check_placement(self, placement: Placement) -> None:
-        if placement.task_id in self._placed_tasks:
+        if placement.attempt_id in self._placed_tasks:
             raise InvalidDecisionError(
-                f"task {placement.task_id} was placed twice"
+                f"task {placement.attempt_id} was placed twice"
             )
         if placement.worker_id not in self._capacity_by_worker:
             raise InvalidDecisionError(
-                f"task {placement.task_id} was placed on worker "
+                f"task {placement.attempt_id} was placed on worker "
                 f"{placement.worker_id}, which does not exist"
             )
-        self._placed_tasks.add(placement.task_id)
+        self._placed_tasks.add(placement.attempt_id)
         self._reserve(placement)
 
     def _reserve(self, placement: Placement) -> None:
@@ -118,9 +118,9 @@
         reserved = earlier_reserved.plus(placement.reserved)
         if not reserved.fits(capacity):
             raise InvalidDecisionError(
-                f"task {placement.task_id} raises the reservations on worker "
-                f"{worker_id} to {reserved}, more than its capacity of "
+                f"task {placement.attempt_id} raises the reservations on "
+                f"worker {worker_id} to {reserved}, more than its capacity of "
                 f"{capacity}"
             )
-        self._placements_by_task[placement.task_id] = placement
+        self._placements_by_task[placement.attempt_id] = placement
         self._reserved_by_worker[worker_id] = reserved
--- a/src/magnoliapitch/bench/decisions/replay.py
+++ b/src/magnoliapitch/bench/decisions/replay.py
@@ -143,7 +143,7 @@
 
     def _submit_tasks(self, tasks: list[ReplayedTask]) -> None:
         for task in tasks:
-            self._tasks_by_attempt_id[task.task_id] = task
+            self._tasks_by_attempt_id[task.attempt_id] = task
         with self._cpu_meter:
             self._scheduler.submit(
                 tuple(task.request(self.now_ms) for task in tasks)
@@ -191,7 +191,7 @@
         self.recorder.record_decision(time.perf_counter_ns() - started_ns)
         self.audit.check_decision(
             tuple(
-                (self._tasks_by_attempt_id[item.task_id].request(0), item)
+                (self._tasks_by_attempt_id[item.attempt_id].request(0), item)
                 for item in decision.placements
             )
         )
@@ -202,12 +202,12 @@
         return decision.has_more
 
     def _start_attempt(self, placement: Placement) -> None:
-        task = self._tasks_by_attempt_id[placement.task_id]
+        task = self._tasks_by_attempt_id[placement.attempt_id]
         task.worker_id = placement.worker_id
         self.recorder.record_start(task, self.now_ms)
         worker = self._workers_by_id[placement.worker_id]
         spec = AttemptSpec(
-            placement.task_id,
+            placement.attempt_id,
             task.traced_job.tasks[task.number].actual_usage,
             task.remaining_ms,
             placement.reserved,
@@ -222,7 +222,7 @@
             self._end_later(STOP_DELAY_MS, victim, TaskOutcome.FAILED)
         self.timeline.schedule_after(
             self.trace.report_lag_ms,
-            partial(self._report_usage, task, placement.task_id),
+            partial(self._report_usage, task, placement.attempt_id),
         )
 
     def _will_fail(self, task: ReplayedTask) -> bool:
@@ -236,7 +236,7 @@
     def _end_later(
         self, delay_ms: int, task: ReplayedTask, outcome: TaskOutcome
     ) -> None:
-        action = partial(self._end_attempt, task, task.task_id, outcome)
+        action = partial(self._end_attempt, task, task.attempt_id, outcome)
         self.timeline.schedule_after(delay_ms, action)
 
     def _schedule_ends(
@@ -249,16 +249,16 @@
     def _finish_if_current(
         self, worker: SimulatedWorker, end: PredictedEnd
     ) -> None:
-        attempt = worker.attempts_by_id.get(end.task_id)
+        attempt = worker.attempts_by_id.get(end.attempt_id)
         if attempt is None or attempt.generation != end.generation:
             return
-        task = self._tasks_by_attempt_id[end.task_id]
-        self._end_attempt(task, end.task_id, TaskOutcome.FINISHED)
+        task = self._tasks_by_attempt_id[end.attempt_id]
+        self._end_attempt(task, end.attempt_id, TaskOutcome.FINISHED)
 
     def _end_attempt(
-        self, task: ReplayedTask, task_id: str, outcome: TaskOutcome
+        self, task: ReplayedTask, attempt_id: str, outcome: TaskOutcome
     ) -> None:
-        attempt = self._remove_attempt(task, task_id)
+        attempt = self._remove_attempt(task, attempt_id)
         if attempt is None:
             return
         if outcome is TaskOutcome.FINISHED:
@@ -272,10 +272,12 @@
     def _record_attempt_end(
         self, task: ReplayedTask, outcome: TaskOutcome
     ) -> None:
-        self.audit.release(task.task_id)
+        self.audit.release(task.attempt_id)
         with self._cpu_meter:
-            self._scheduler.record_task_end(task.task_id, outcome, self.now_ms)
-        del self._tasks_by_attempt_id[task.task_id]
+            self._scheduler.record_task_end(
+                task.attempt_id, outcome, self.now_ms
+            )
+        del self._tasks_by_attempt_id[task.attempt_id]
         task.worker_id = ""
         self._schedule_decision_round(DECISION_INTERVAL_MS)
         job = self.jobs_by_id[task.traced_job.job_id]
@@ -327,23 +329,23 @@
         if _is_awaited(job.traced_job):
             self._unfinished_jobs -= 1
         with self._cpu_meter:
-            running_task_ids = self._scheduler.cancel(job.traced_job.job_id)
+            running_attempt_ids = self._scheduler.cancel(job.traced_job.job_id)
         for task in job.tasks:
             if task.started_ms < 0:
                 self.recorder.record_cancellation(task, self.now_ms)
-        for task_id in running_task_ids:
-            running_task = self._tasks_by_attempt_id[task_id]
+        for attempt_id in running_attempt_ids:
+            running_task = self._tasks_by_attempt_id[attempt_id]
             self._end_later(STOP_DELAY_MS, running_task, TaskOutcome.CANCELLED)
         self._schedule_decision_round(DECISION_INTERVAL_MS)
 
     def _evict(self, eviction: Eviction) -> None:
-        task = self._tasks_by_attempt_id[eviction.task_id]
+        task = self._tasks_by_attempt_id[eviction.attempt_id]
         self.recorder.record_eviction(str(eviction.action))
         if eviction.action is EvictionAction.THROTTLE:
             action = partial(self._throttle, eviction)
             self.timeline.schedule_after(STOP_DELAY_MS, action)
         elif eviction.action is EvictionAction.CHECKPOINT:
-            action = partial(self._checkpoint, task, eviction.task_id)
+            action = partial(self._checkpoint, task, eviction.attempt_id)
             self.timeline.schedule_after(CHECKPOINT_DELAY_MS, action)
         else:
             self._end_later(STOP_DELAY_MS, task, TaskOutcome.CANCELLED)
@@ -352,34 +354,34 @@
         worker = self._workers_by_id.get(eviction.worker_id)
         if worker is None:
             return
-        attempt = worker.attempts_by_id.get(eviction.task_id)
+        attempt = worker.attempts_by_id.get(eviction.attempt_id)
         if attempt is None:
             return
         ends = worker.throttle(
-            eviction.task_id, eviction.cpu_millis, self.now_ms
+            eviction.attempt_id, eviction.cpu_millis, self.now_ms
         )
         self._schedule_ends(worker, ends)
         reserved = attempt.reserved._replace(cpu_millis=eviction.cpu_millis)
         attempt.reserved = reserved
-        self.audit.resize(eviction.task_id, reserved)
+        self.audit.resize(eviction.attempt_id, reserved)
         with self._cpu_meter:
-            self._scheduler.record_resize(eviction.task_id, reserved)
+            self._scheduler.record_resize(eviction.attempt_id, reserved)
         self._schedule_decision_round(DECISION_INTERVAL_MS)
 
     def _remove_attempt(
-        self, task: ReplayedTask, task_id: str
+        self, task: ReplayedTask, attempt_id: str
     ) -> RunningAttempt | None:
         """Remove an attempt from its worker; return it if it still ran."""
         worker = self._workers_by_id.get(task.worker_id)
-        if task.task_id != task_id or worker is None:
+        if task.attempt_id != attempt_id or worker is None:
             return None
-        attempt = worker.attempts_by_id.get(task_id)
+        attempt = worker.attempts_by_id.get(attempt_id)
         if attempt is not None:
-            self._schedule_ends(worker, worker.end(task_id, self.now_ms))
+            self._schedule_ends(worker, worker.end(attempt_id, self.now_ms))
         return attempt
 
-    def _checkpoint(self, task: ReplayedTask, task_id: str) -> None:
-        attempt = self._remove_attempt(task, task_id)
+    def _checkpoint(self, task: ReplayedTask, attempt_id: str) -> None:
+        attempt = self._remove_attempt(task, attempt_id)
         if attempt is None:
             return
         self.recorder.record_useful_work(
@@ -388,20 +390,20 @@
         task.remaining_ms = max(1.0, attempt.remaining_ms) + CHECKPOINT_COST_MS
         self._record_attempt_end(task, TaskOutcome.LOST)
 
-    def _report_usage(self, task: ReplayedTask, task_id: str) -> None:
+    def _report_usage(self, task: ReplayedTask, attempt_id: str) -> None:
         worker = self._workers_by_id.get(task.worker_id)
-        if task.task_id != task_id or worker is None:
+        if task.attempt_id != attempt_id or worker is None:
             return
-        attempt = worker.attempts_by_id.get(task_id)
+        attempt = worker.attempts_by_id.get(attempt_id)
         if attempt is None:
             return
         with self._cpu_meter:
             self._scheduler.report_usage(
-                task_id, attempt.current_usage(), self.now_ms
+                attempt_id, attempt.current_usage(), self.now_ms
             )
         self.timeline.schedule_after(
             USAGE_REPORT_INTERVAL_MS,
-            partial(self._report_usage, task, task_id),
+            partial(self._report_usage, task, attempt_id),
         )
 
     def _begin_outage(self, outage: Outage) -> None:
@@ -412,11 +414,11 @@
                 self._scheduler.remove_worker(worker_id)
             lost = dict(worker.attempts_by_id)
             worker.attempts_by_id.clear()
-            for task_id, attempt in lost.items():
+            for attempt_id, attempt in lost.items():
                 self.recorder.lost_millicore_ms += (
                     attempt.delivered_millicore_ms
                 )
-                task = self._tasks_by_attempt_id[task_id]
+                task = self._tasks_by_attempt_id[attempt_id]
                 self._record_attempt_end(task, TaskOutcome.LOST)
 
     def _end_outage(self, outage: Outage) -> None:
@@ -440,10 +442,10 @@
     def _record_running_work(self) -> None:
         """Record the work of the attempts that still task at the end."""
         for worker in self._workers_by_id.values():
-            for task_id in list(worker.attempts_by_id):
-                attempt = worker.attempts_by_id[task_id]
-                worker.end(task_id, self.now_ms)
-                task = self._tasks_by_attempt_id[task_id]
+            for attempt_id in list(worker.attempts_by_id):
+                attempt = worker.attempts_by_id[attempt_id]
+                worker.end(attempt_id, self.now_ms)
+                task = self._tasks_by_attempt_id[attempt_id]
                 self.recorder.record_useful_work(
                     task, attempt.peak_delivered_millicore_ms
                 )
--- a/src/magnoliapitch/bench/decisions/replayed_job.py
+++ b/src/magnoliapitch/bench/decisions/replayed_job.py
@@ -48,7 +48,7 @@
         self.worker_id = ""
 
     @property
-    def task_id(self) -> str:
+    def attempt_id(self) -> str:
         """Lease id of the current attempt, as the job manager names it."""
         name = AttemptName(
             self.traced_job.job_id, self.number, self.attempt_number
@@ -62,7 +62,7 @@
         """
         job = self.traced_job
         return TaskRequest(
-            self.task_id,
+            self.attempt_id,
             job.job_id,
             job.entry.name,
             job.entry.owner,
--- a/src/magnoliapitch/bench/decisions/scale.py
+++ b/src/magnoliapitch/bench/decisions/scale.py
@@ -144,7 +144,7 @@
             ended_placement = self._running.pop()
             started_ns = time.process_time_ns()
             self._scheduler.record_task_end(
-                ended_placement.task_id, TaskOutcome.FINISHED, self.now_ms
+                ended_placement.attempt_id, TaskOutcome.FINISHED, self.now_ms
             )
             self.spent_ns += time.process_time_ns() - started_ns
 
--- a/src/magnoliapitch/bench/decisions/simulated_worker.py
+++ b/src/magnoliapitch/bench/decisions/simulated_worker.py
@@ -26,7 +26,7 @@
     :param reserved: resources that the scheduler reserved for it.
     """
 
-    task_id: str
+    attempt_id: str
     actual_usage: Resources
     run_ms: float
     reserved: Resources
@@ -40,7 +40,7 @@
     """
 
     at_ms: int
-    task_id: str
+    attempt_id: str
     generation: int
 
 
@@ -110,17 +110,17 @@
     def start(self, spec: AttemptSpec, now_ms: int) -> list[PredictedEnd]:
         """Start an attempt; return the predicted ends that change."""
         self._advance_progress(now_ms)
-        self.attempts_by_id[spec.task_id] = RunningAttempt(spec, now_ms)
-        return self._reschedule_ends(now_ms, spec.task_id)
+        self.attempts_by_id[spec.attempt_id] = RunningAttempt(spec, now_ms)
+        return self._reschedule_ends(now_ms, spec.attempt_id)
 
-    def end(self, task_id: str, now_ms: int) -> list[PredictedEnd]:
+    def end(self, attempt_id: str, now_ms: int) -> list[PredictedEnd]:
         """Remove an attempt; return the predicted ends that change."""
         self._advance_progress(now_ms)
-        self.attempts_by_id.pop(task_id, None)
+        self.attempts_by_id.pop(attempt_id, None)
         return self._reschedule_ends(now_ms, "")
 
     def throttle(
-        self, task_id: str, cpu_millis: int, now_ms: int
+        self, attempt_id: str, cpu_millis: int, now_ms: int
     ) -> list[PredictedEnd]:
         """Limit the processor rate of an attempt.
 
@@ -128,9 +128,9 @@
         :return: the predicted ends that change.
         """
         self._advance_progress(now_ms)
-        self.attempts_by_id[task_id].cpu_limit_millis = max(1, cpu_millis)
+        self.attempts_by_id[attempt_id].cpu_limit_millis = max(1, cpu_millis)
         self._is_contended = True
-        return self._reschedule_ends(now_ms, task_id)
+        return self._reschedule_ends(now_ms, attempt_id)
 
     def memory_overrun_victim(self) -> str:
         """Return the attempt to fail for lack of memory, "" for none."""
@@ -142,8 +142,8 @@
             return ""
         return max(
             self.attempts_by_id,
-            key=lambda task_id: _memory_above_reservation_mb(
-                self.attempts_by_id[task_id]
+            key=lambda attempt_id: _memory_above_reservation_mb(
+                self.attempts_by_id[attempt_id]
             ),
         )
 
@@ -178,7 +178,7 @@
             attempt.updated_ms = now_ms
 
     def _reschedule_ends(
-        self, now_ms: int, changed_task_id: str
+        self, now_ms: int, changed_attempt_id: str
     ) -> list[PredictedEnd]:
         total_demand_millis = sum(
             attempt.cpu_demand_millis()
@@ -193,9 +193,9 @@
         was_contended = self._is_contended
         self._is_contended = granted_share < 1.0
         predicted_ends = []
-        for task_id, attempt in self.attempts_by_id.items():
+        for attempt_id, attempt in self.attempts_by_id.items():
             is_steady = not (was_contended or self._is_contended)
-            if is_steady and task_id != changed_task_id:
+            if is_steady and attempt_id != changed_attempt_id:
                 continue
             attempt.rate_millicores = (
                 attempt.cpu_demand_millis() * granted_share
@@ -208,7 +208,7 @@
             )
             at_ms = now_ms + int(duration_ms) + 1
             predicted_ends.append(
-                PredictedEnd(at_ms, task_id, attempt.generation)
+                PredictedEnd(at_ms, attempt_id, attempt.generation)
             )
         return predicted_ends
 
--- a/src/magnoliapitch/decision/admission.py
+++ b/src/magnoliapitch/decision/admission.py
@@ -19,7 +19,7 @@
 
 def find_infeasibility(
     task: TaskRequest,
-    fleet: tuple[WorkerShape, ...],
+    workers: tuple[WorkerShape, ...],
     quota_usage: QuotaUsage,
     estimates: Estimates,
 ) -> str:
@@ -28,26 +28,26 @@
     The result depends on the workers, the catalogue and the estimates, and
     must be checked again when these change.
 
-    :param fleet: all workers that the task may run on; if empty, sizes are
+    :param workers: all workers that the task may run on; if empty, sizes are
         not checked.
     """
     return (
-        _exceeds_largest_worker(task, fleet)
-        or _exceeds_all_workers(task, fleet)
+        _exceeds_largest_worker(task, workers)
+        or _exceeds_all_workers(task, workers)
         or _exceeds_quota(task, quota_usage)
         or _misses_deadline(task, estimates)
     )
 
 
 def _exceeds_largest_worker(
-    task: TaskRequest, fleet: tuple[WorkerShape, ...]
+    task: TaskRequest, workers: tuple[WorkerShape, ...]
 ) -> str:
     size = task.resources
-    if not fleet or any(size.fits(worker.capacity) for worker in fleet):
+    if not workers or any(size.fits(worker.capacity) for worker in workers):
         return ""
     largest = Resources(
         *(
-            max(getattr(item.capacity, field) for item in fleet)
+            max(getattr(item.capacity, field) for item in workers)
             for field in RESOURCE_FIELDS
         )
     )
@@ -65,12 +65,12 @@
 
 
 def _exceeds_all_workers(
-    task: TaskRequest, fleet: tuple[WorkerShape, ...]
+    task: TaskRequest, workers: tuple[WorkerShape, ...]
 ) -> str:
-    if task.gang_size <= 1 or not fleet:
+    if task.gang_size <= 1 or not workers:
         return ""
     fitting = sum(
-        _count_fitting(worker.capacity, task.resources) for worker in fleet
+        _count_fitting(worker.capacity, task.resources) for worker in workers
     )
     if fitting >= task.gang_size:
         return ""
--- a/src/magnoliapitch/decision/allocations.py
+++ b/src/magnoliapitch/decision/allocations.py
@@ -55,7 +55,7 @@
             for task in previous.tasks_by_id.values():
                 self._attach(task, worker)
         for task in self._adopted_by_worker.pop(shape.worker_id, ()):
-            if self.running_by_id.get(task.request.task_id) is task:
+            if self.running_by_id.get(task.request.attempt_id) is task:
                 self._attach(task, worker)
         self.workers.allocate(worker, NO_RESOURCES)
         self.free = self.free.plus(worker.free)
@@ -71,7 +71,7 @@
         self.freed_workers_by_id.pop(worker_id, None)
         lost = list(worker.tasks_by_id.values())
         for task in lost:
-            del self.running_by_id[task.request.task_id]
+            del self.running_by_id[task.request.attempt_id]
             self.borrowed -= task.borrowed
             self._remove_usage(task)
         return lost
@@ -101,14 +101,14 @@
         if not self.quota_usage.is_within_quota(request.entry, reserved):
             task.borrowed = True
             self.borrowed += 1
-        self.running_by_id[request.task_id] = task
-        worker.tasks_by_id[request.task_id] = task
+        self.running_by_id[request.attempt_id] = task
+        worker.tasks_by_id[request.attempt_id] = task
         self._allocate(worker, reserved)
         self._add_usage(task)
         if worker.earmarked != NO_RESOURCES:
             left = worker.earmarked.minus(reserved)
             worker.earmarked = Resources(*(max(0, part) for part in left))
-        return Placement(request.task_id, worker.shape.worker_id, reserved)
+        return Placement(request.attempt_id, worker.shape.worker_id, reserved)
 
     def adopt(
         self, request: TaskRequest, worker_id: str, reserved: Resources
@@ -127,20 +127,20 @@
             return
         placeholder = WorkerTable(0).add(_placeholder_shape(worker_id))
         task = RunningTask(request, placeholder, reserved, *run_window_ms)
-        self.running_by_id[request.task_id] = task
+        self.running_by_id[request.attempt_id] = task
         self._add_usage(task)
         adopted = self._adopted_by_worker.setdefault(worker_id, [])
         adopted.append(task)
 
-    def end(self, task_id: str) -> RunningTask | None:
+    def end(self, attempt_id: str) -> RunningTask | None:
         """Release the resources of a task; return it, ``None`` if unknown."""
-        task = self.running_by_id.pop(task_id, None)
+        task = self.running_by_id.pop(attempt_id, None)
         if task is None:
             return None
         self.borrowed -= task.borrowed
         self._remove_usage(task)
         worker = task.worker
-        if worker.tasks_by_id.pop(task_id, None) is None:
+        if worker.tasks_by_id.pop(attempt_id, None) is None:
             return task
         self._allocate(worker, NO_RESOURCES.minus(task.reserved))
         self.mark_freed(worker)
@@ -149,7 +149,7 @@
     def resize(self, task: RunningTask, reserved: Resources) -> None:
         """Change the resources that are reserved for a running task."""
         worker = task.worker
-        if task.request.task_id not in worker.tasks_by_id:
+        if task.request.attempt_id not in worker.tasks_by_id:
             return
         self._remove_usage(task)
         self._allocate(worker, reserved.minus(task.reserved))
@@ -195,7 +195,7 @@
 
     def _attach(self, task: RunningTask, worker: WorkerState) -> None:
         task.worker = worker
-        worker.tasks_by_id[task.request.task_id] = task
+        worker.tasks_by_id[task.request.attempt_id] = task
         worker.allocate(task.reserved)
         if task.request.work_class is WorkClass.URGENT:
             worker.urgent_cpu_millis += task.reserved.cpu_millis
--- a/src/magnoliapitch/decision/dispatch.py
+++ b/src/magnoliapitch/decision/dispatch.py
@@ -91,7 +91,7 @@
         group: TaskGroup,
         worker: WorkerState,
     ) -> str:
-        """Start the next task of a group on a worker; return the task id."""
+        """Start a group's next task on a worker; return its attempt id."""
         task = self._queue.dequeue(group)
         now_ms = decision_round.now_ms
         expected_end_ms = now_ms + group.run_ms
@@ -102,10 +102,10 @@
             self._reservation_planner.charge_start(
                 worker, group, expected_end_ms
             )
-        group.job.running[task.task_id] = None
+        group.job.running[task.attempt_id] = None
         self._finder.class_start_times.record_start(task.work_class, now_ms)
         decision_round.placements.append(placement)
-        return task.task_id
+        return task.attempt_id
 
     def _serve_priority_class(
         self, decision_round: DecisionRound, work_class: WorkClass
--- a/src/magnoliapitch/decision/first_fit.py
+++ b/src/magnoliapitch/decision/first_fit.py
@@ -48,8 +48,8 @@
         self._workers_by_id: dict[str, WorkerShape] = {}
         self._free_by_worker: dict[str, Resources] = {}
         self._withheld_by_worker: dict[str, Resources] = {}
-        self._placements_by_task: dict[str, Placement] = {}
-        self._jobs_by_task: dict[str, str] = {}
+        self._placements_by_attempt: dict[str, Placement] = {}
+        self._jobs_by_attempt: dict[str, str] = {}
         self._running_by_job: dict[str, set[str]] = {}
         self._waiting_by_job: dict[str, dict[str, TaskRequest]] = {}
         self._queue: list[tuple[int, int, TaskRequest]] = []
@@ -62,7 +62,7 @@
     def add_worker(self, worker: WorkerShape) -> None:
         """Add a worker, or update its capacity if it is known."""
         used = NO_RESOURCES
-        for placement in self._placements_by_task.values():
+        for placement in self._placements_by_attempt.values():
             if placement.worker_id == worker.worker_id:
                 used = used.plus(placement.reserved)
         self._workers_by_id[worker.worker_id] = worker
@@ -74,12 +74,12 @@
         self._free_by_worker.pop(worker_id, None)
         self._withheld_by_worker.pop(worker_id, None)
         lost = [
-            task_id
-            for task_id, placement in self._placements_by_task.items()
+            attempt_id
+            for attempt_id, placement in self._placements_by_attempt.items()
             if placement.worker_id == worker_id
         ]
-        for task_id in lost:
-            self._forget(task_id)
+        for attempt_id in lost:
+            self._forget(attempt_id)
 
     def set_withheld(self, worker_id: str, withheld: Resources) -> None:
         """Set the capacity of a worker that must not be used."""
@@ -89,40 +89,40 @@
         self, task: TaskRequest, worker_id: str, reserved: Resources
     ) -> None:
         """Add a task that is already running."""
-        if task.task_id in self._placements_by_task:
+        if task.attempt_id in self._placements_by_attempt:
             return
-        self._jobs_by_task[task.task_id] = task.job_id
-        self._reserve(task, Placement(task.task_id, worker_id, reserved))
+        self._jobs_by_attempt[task.attempt_id] = task.job_id
+        self._reserve(task, Placement(task.attempt_id, worker_id, reserved))
 
     def submit(self, tasks: tuple[TaskRequest, ...]) -> None:
         """Add tasks to the queue; ignore those whose id is known."""
         for task in tasks:
-            if task.task_id in self._jobs_by_task:
+            if task.attempt_id in self._jobs_by_attempt:
                 continue
-            self._jobs_by_task[task.task_id] = task.job_id
+            self._jobs_by_attempt[task.attempt_id] = task.job_id
             waiting = self._waiting_by_job.setdefault(task.job_id, {})
-            waiting[task.task_id] = task
+            waiting[task.attempt_id] = task
             rank = self._priority_by_class.get(task.work_class, 0)
             heapq.heappush(self._queue, (rank, self._arrival_count, task))
             self._arrival_count += 1
             self._queued_count += 1
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Remove the queued tasks of a job; return its running task ids."""
+        """Remove the queued tasks of a job; return its running attempt ids."""
         waiting = self._waiting_by_job.pop(job_id, {})
         self._queued_count -= len(waiting)
-        for task_id in waiting:
-            self._jobs_by_task.pop(task_id, None)
+        for attempt_id in waiting:
+            self._jobs_by_attempt.pop(attempt_id, None)
         return tuple(sorted(self._running_by_job.get(job_id, ())))
 
     def record_task_end(
         self,
-        task_id: str,
+        attempt_id: str,
         outcome: TaskOutcome,  # noqa: ARG002
         now_ms: int,  # noqa: ARG002
     ) -> None:
         """Release the resources of a task that is certain to have ended."""
-        placement = self._forget(task_id)
+        placement = self._forget(attempt_id)
         if placement is None:
             return
         free = self._free_by_worker.get(placement.worker_id)
@@ -131,11 +131,11 @@
             self._free_by_worker[placement.worker_id] = freed
 
     def report_usage(
-        self, task_id: str, usage: Resources, now_ms: int
+        self, attempt_id: str, usage: Resources, now_ms: int
     ) -> None:
         """Do nothing: the baseline reserves the declared sizes."""
 
-    def record_resize(self, task_id: str, reserved: Resources) -> None:
+    def record_resize(self, attempt_id: str, reserved: Resources) -> None:
         """Do nothing: the baseline never throttles a task."""
 
     def decide(self, now_ms: int) -> Decision:  # noqa: ARG002
@@ -163,10 +163,10 @@
         return Explanation(job_id, "earlier tasks in the queue", ahead, -1)
 
     def infeasibility_reason(
-        self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
+        self, task: TaskRequest, workers: tuple[WorkerShape, ...]
     ) -> str:
-        """Return why a task can never run on a fleet, or an empty string."""
-        if any(task.resources.fits(worker.capacity) for worker in fleet):
+        """Return why a task can never run on these workers, or ''."""
+        if any(task.resources.fits(worker.capacity) for worker in workers):
             return ""
         return f"no worker has capacity for {task.resources}"
 
@@ -182,7 +182,7 @@
         return self._queued_count
 
     def _is_waiting(self, task: TaskRequest) -> bool:
-        return task.task_id in self._waiting_by_job.get(task.job_id, ())
+        return task.attempt_id in self._waiting_by_job.get(task.job_id, ())
 
     def _tasks_started_with(
         self, head: TaskRequest
@@ -199,7 +199,7 @@
                 for placement in placements:
                     self._undo_reservation(placement)
                 return []
-            placement = Placement(task.task_id, worker_id, task.resources)
+            placement = Placement(task.attempt_id, worker_id, task.resources)
             self._reserve(task, placement)
             placements.append(placement)
         for task in tasks:
@@ -208,7 +208,7 @@
 
     def _dequeue(self, task: TaskRequest) -> None:
         waiting = self._waiting_by_job[task.job_id]
-        del waiting[task.task_id]
+        del waiting[task.attempt_id]
         self._queued_count -= 1
         if not waiting:
             del self._waiting_by_job[task.job_id]
@@ -226,31 +226,31 @@
         return None
 
     def _reserve(self, task: TaskRequest, placement: Placement) -> None:
-        self._placements_by_task[placement.task_id] = placement
+        self._placements_by_attempt[placement.attempt_id] = placement
         running = self._running_by_job.setdefault(task.job_id, set())
-        running.add(task.task_id)
+        running.add(task.attempt_id)
         free = self._free_by_worker.get(placement.worker_id)
         if free is not None:
             left = free.minus(placement.reserved)
             self._free_by_worker[placement.worker_id] = left
 
     def _undo_reservation(self, placement: Placement) -> None:
-        del self._placements_by_task[placement.task_id]
-        job_id = self._jobs_by_task[placement.task_id]
-        self._running_by_job[job_id].discard(placement.task_id)
+        del self._placements_by_attempt[placement.attempt_id]
+        job_id = self._jobs_by_attempt[placement.attempt_id]
+        self._running_by_job[job_id].discard(placement.attempt_id)
         free = self._free_by_worker[placement.worker_id]
         freed = free.plus(placement.reserved)
         self._free_by_worker[placement.worker_id] = freed
 
-    def _forget(self, task_id: str) -> Placement | None:
-        placement = self._placements_by_task.pop(task_id, None)
-        job_id = self._jobs_by_task.pop(task_id, "")
+    def _forget(self, attempt_id: str) -> Placement | None:
+        placement = self._placements_by_attempt.pop(attempt_id, None)
+        job_id = self._jobs_by_attempt.pop(attempt_id, "")
         waiting = self._waiting_by_job.get(job_id, {})
-        if waiting.pop(task_id, None) is not None:
+        if waiting.pop(attempt_id, None) is not None:
             self._queued_count -= 1
         running = self._running_by_job.get(job_id)
         if running is not None:
-            running.discard(task_id)
+            running.discard(attempt_id)
             if not running:
                 del self._running_by_job[job_id]
         return placement
--- a/src/magnoliapitch/decision/health.py
+++ b/src/magnoliapitch/decision/health.py
@@ -36,7 +36,7 @@
         failed probe.
     :ivar next_probe_ms: when the next probe may start. A probe is one task
         that is tried on a quarantined worker.
-    :ivar probe_task_id: id of the running probe, or empty.
+    :ivar probe_attempt_id: id of the running probe, or empty.
     """
 
     __slots__ = (
@@ -45,8 +45,8 @@
         "failures",
         "is_quarantined",
         "next_probe_ms",
+        "probe_attempt_id",
         "probe_interval_ms",
-        "probe_task_id",
         "shape",
     )
 
@@ -58,7 +58,7 @@
         self.is_quarantined = False
         self.probe_interval_ms = PROBE_INTERVAL_MS
         self.next_probe_ms = 0
-        self.probe_task_id = ""
+        self.probe_attempt_id = ""
 
     @property
     def has_quarantine_evidence(self) -> bool:
@@ -113,8 +113,8 @@
         if health is None:
             return False
         health.clear_failures()
-        if health.probe_task_id == task.request.task_id:
-            health.probe_task_id = ""
+        if health.probe_attempt_id == task.request.attempt_id:
+            health.probe_attempt_id = ""
         if not health.is_quarantined:
             return False
         health.is_quarantined = False
@@ -129,7 +129,7 @@
         if health is None:
             return False
         other_worker_count = self._record_job_failure(task, health)
-        if health.probe_task_id == task.request.task_id:
+        if health.probe_attempt_id == task.request.attempt_id:
             self._record_failed_probe(health, now_ms)
         if other_worker_count < BROKEN_JOB_MIN_WORKERS - 1:
             health.failures += 1
@@ -147,8 +147,11 @@
     def record_lost(self, task: RunningTask) -> None:
         """Record that a task ended with neither success nor failure."""
         health = self._health_by_worker.get(task.worker.shape.worker_id)
-        if health is not None and health.probe_task_id == task.request.task_id:
-            health.probe_task_id = ""
+        if (
+            health is not None
+            and health.probe_attempt_id == task.request.attempt_id
+        ):
+            health.probe_attempt_id = ""
 
     def fails_everywhere(self, job_id: str) -> bool:
         """Return whether a job failed on several workers without a success."""
@@ -164,15 +167,15 @@
         for worker_id, health in self._health_by_worker.items():
             if (
                 health.is_quarantined
-                and not health.probe_task_id
+                and not health.probe_attempt_id
                 and now_ms >= health.next_probe_ms
             ):
                 return worker_id
         return ""
 
-    def record_probe(self, worker_id: str, task_id: str) -> None:
+    def record_probe(self, worker_id: str, attempt_id: str) -> None:
         """Record the task that probes a quarantined worker."""
-        self._health_by_worker[worker_id].probe_task_id = task_id
+        self._health_by_worker[worker_id].probe_attempt_id = attempt_id
 
     def quarantined_workers(self) -> tuple[str, ...]:
         """Return the ids of the quarantined workers."""
@@ -199,7 +202,7 @@
         return other_worker_count
 
     def _record_failed_probe(self, health: WorkerHealth, now_ms: int) -> None:
-        health.probe_task_id = ""
+        health.probe_attempt_id = ""
         health.probe_interval_ms = min(
             MAX_PROBE_INTERVAL_MS, health.probe_interval_ms * 2
         )
--- a/src/magnoliapitch/decision/interface.py
+++ b/src/magnoliapitch/decision/interface.py
@@ -24,7 +24,7 @@
 class TaskRequest(NamedTuple):
     """One attempt of a task, to be placed on a worker.
 
-    :param task_id: lease id of the attempt, ``JOB/TASK/ATTEMPT``.
+    :param attempt_id: lease id of the attempt, ``JOB/TASK/ATTEMPT``.
     :param entry: name of the catalogue entry that the job belongs to.
     :param owner: owner of that entry.
     :param resources: declared size.
@@ -36,7 +36,7 @@
     :param unit: the only rack that the task may run in; empty for any.
     """
 
-    task_id: str
+    attempt_id: str
     job_id: str
     entry: str
     owner: str
@@ -69,7 +69,7 @@
         differ from the declared size.
     """
 
-    task_id: str
+    attempt_id: str
     worker_id: str
     reserved: Resources
 
@@ -89,7 +89,7 @@
         throttle only. It may be higher than before, to lift a throttle.
     """
 
-    task_id: str
+    attempt_id: str
     worker_id: str
     action: EvictionAction
     cpu_millis: int = 0
@@ -162,19 +162,19 @@
         """Add tasks to the queue; ignore those whose id is known."""
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Remove the queued tasks of a job; return its running task ids."""
+        """Remove the queued tasks of a job; return its running attempt ids."""
 
     def record_task_end(
-        self, task_id: str, outcome: TaskOutcome, now_ms: int
+        self, attempt_id: str, outcome: TaskOutcome, now_ms: int
     ) -> None:
         """Release the resources of a task that is certain to have ended."""
 
     def report_usage(
-        self, task_id: str, usage: Resources, now_ms: int
+        self, attempt_id: str, usage: Resources, now_ms: int
     ) -> None:
         """Record the resource usage that a running task reported."""
 
-    def record_resize(self, task_id: str, reserved: Resources) -> None:
+    def record_resize(self, attempt_id: str, reserved: Resources) -> None:
         """Record that a worker confirmed the new size of a running task."""
 
     def decide(self, now_ms: int) -> Decision:
@@ -184,9 +184,9 @@
         """Return why a job waits, or ``None`` if none of its tasks do."""
 
     def infeasibility_reason(
-        self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
+        self, task: TaskRequest, workers: tuple[WorkerShape, ...]
     ) -> str:
-        """Return why a task can never run on a fleet, or an empty string."""
+        """Return why a task can never run on these workers, or ''."""
 
     def free_capacity(self) -> Resources:
         """Return the capacity that is neither reserved nor withheld."""
--- a/src/magnoliapitch/decision/queue.py
+++ b/src/magnoliapitch/decision/queue.py
@@ -97,7 +97,7 @@
     ) -> None:
         self.job = job
         self.template = tasks[0]
-        self.tasks_by_id = {task.task_id: task for task in tasks}
+        self.tasks_by_id = {task.attempt_id: task for task in tasks}
         self.min_memory_mb = min_memory_mb
         self.size: Resources = tasks[0].resources
         self.run_ms = tasks[0].run_ms
@@ -234,7 +234,7 @@
         self.waiting = 0
         self.waiting_by_class = dict.fromkeys(WorkClass, 0)
         self.waiting_by_entry: dict[str, int] = {}
-        self.groups_by_task: dict[str, TaskGroup] = {}
+        self.groups_by_attempt: dict[str, TaskGroup] = {}
         self.jobs_by_id: dict[str, QueuedJob] = {}
         self.heap_by_class = {item: GroupHeap() for item in WorkClass}
         self.deadline_heap = GroupHeap()
@@ -257,7 +257,7 @@
     ) -> None:
         """Record that tasks of a group are waiting."""
         for task in tasks:
-            self.groups_by_task[task.task_id] = group
+            self.groups_by_attempt[task.attempt_id] = group
         group.job.waiting += len(tasks)
         self._adjust_counts(group, len(tasks))
 
@@ -302,32 +302,32 @@
 
     def dequeue(self, group: TaskGroup) -> TaskRequest:
         """Remove and return the next task of a group."""
-        task_id = next(iter(group.tasks_by_id))
-        task = group.tasks_by_id.pop(task_id)
-        del self.groups_by_task[task_id]
+        attempt_id = next(iter(group.tasks_by_id))
+        task = group.tasks_by_id.pop(attempt_id)
+        del self.groups_by_attempt[attempt_id]
         group.job.waiting -= 1
         self._adjust_counts(group, -1)
         self._detach_if_empty(group)
         return task
 
-    def remove_task(self, task_id: str) -> None:
+    def remove_task(self, attempt_id: str) -> None:
         """Remove a waiting task, if it is known."""
-        group = self.groups_by_task.pop(task_id, None)
+        group = self.groups_by_attempt.pop(attempt_id, None)
         if group is None:
             return
-        del group.tasks_by_id[task_id]
+        del group.tasks_by_id[attempt_id]
         group.job.waiting -= 1
         self._adjust_counts(group, -1)
         self._detach_if_empty(group)
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Remove the waiting tasks of a job; return its running task ids."""
+        """Remove a job's waiting tasks; return its running attempt ids."""
         job = self.jobs_by_id.get(job_id)
         if job is None:
             return ()
         for group in job.groups:
-            for task_id in group.tasks_by_id:
-                del self.groups_by_task[task_id]
+            for attempt_id in group.tasks_by_id:
+                del self.groups_by_attempt[attempt_id]
             self._adjust_counts(group, -len(group.tasks_by_id))
             group.tasks_by_id = {}
         job.groups = []
@@ -336,12 +336,12 @@
             del self.jobs_by_id[job_id]
         return tuple(job.running)
 
-    def forget_running(self, job_id: str, task_id: str) -> None:
+    def forget_running(self, job_id: str, attempt_id: str) -> None:
         """Record that a task of a job is no longer running."""
         job = self.jobs_by_id.get(job_id)
         if job is None:
             return
-        job.running.pop(task_id, None)
+        job.running.pop(attempt_id, None)
         if not job.running and not job.waiting:
             del self.jobs_by_id[job_id]
 
--- a/src/magnoliapitch/decision/reclaim.py
+++ b/src/magnoliapitch/decision/reclaim.py
@@ -59,9 +59,9 @@
     def __init__(self, allocations: Allocations, is_enabled: bool) -> None:
         self._allocations = allocations
         self._is_enabled = is_enabled
-        self._throttled_by_task: dict[str, RunningTask] = {}
-        self._throttle_sent_ms_by_task: dict[str, int] = {}
-        self._checkpoint_sent_ms_by_task: dict[str, int] = {}
+        self._throttled_by_attempt: dict[str, RunningTask] = {}
+        self._throttle_sent_ms_by_attempt: dict[str, int] = {}
+        self._checkpoint_sent_ms_by_attempt: dict[str, int] = {}
 
     def plan_for_task(
         self, size: Resources, unit: str, now_ms: int, victims: VictimKind
@@ -115,12 +115,14 @@
         :param limit: number of throttled tasks to examine at most.
         """
         found = []
-        for task_id, task in list(self._throttled_by_task.items())[:limit]:
-            if self._allocations.running_by_id.get(task_id) is not task:
-                del self._throttled_by_task[task_id]
-                self._throttle_sent_ms_by_task.pop(task_id, None)
+        for attempt_id, task in list(self._throttled_by_attempt.items())[
+            :limit
+        ]:
+            if self._allocations.running_by_id.get(attempt_id) is not task:
+                del self._throttled_by_attempt[attempt_id]
+                self._throttle_sent_ms_by_attempt.pop(attempt_id, None)
                 continue
-            if task_id in self._throttle_sent_ms_by_task:
+            if attempt_id in self._throttle_sent_ms_by_attempt:
                 continue
             wanted = (
                 task.initially_reserved.cpu_millis - task.reserved.cpu_millis
@@ -137,7 +139,7 @@
             reserved = task.reserved._replace(cpu_millis=cpu_millis)
             self._allocations.resize(task, reserved)
             task.is_being_evicted = False
-            del self._throttled_by_task[task_id]
+            del self._throttled_by_attempt[attempt_id]
             found.append(
                 _make_eviction(task, EvictionAction.THROTTLE, cpu_millis)
             )
@@ -145,7 +147,7 @@
 
     def confirm_throttle(self, task: RunningTask) -> None:
         """Record that a worker confirmed the throttle of a task."""
-        self._throttle_sent_ms_by_task.pop(task.request.task_id, None)
+        self._throttle_sent_ms_by_attempt.pop(task.request.attempt_id, None)
         task.is_being_evicted = False
 
     def escalate_overdue(self, now_ms: int) -> list[Eviction]:
@@ -154,23 +156,27 @@
         A task whose throttle was not confirmed in time is marked, so that it
         may be checkpointed instead.
         """
-        for task_id, sent_ms in list(self._throttle_sent_ms_by_task.items()):
+        for attempt_id, sent_ms in list(
+            self._throttle_sent_ms_by_attempt.items()
+        ):
             if now_ms - sent_ms >= THROTTLE_TIMEOUT_MS:
-                del self._throttle_sent_ms_by_task[task_id]
-                del self._throttled_by_task[task_id]
-                self._mark_throttle_ignored(task_id)
+                del self._throttle_sent_ms_by_attempt[attempt_id]
+                del self._throttled_by_attempt[attempt_id]
+                self._mark_throttle_ignored(attempt_id)
         found = []
-        for task_id, sent_ms in list(self._checkpoint_sent_ms_by_task.items()):
-            task = self._allocations.running_by_id.get(task_id)
+        for attempt_id, sent_ms in list(
+            self._checkpoint_sent_ms_by_attempt.items()
+        ):
+            task = self._allocations.running_by_id.get(attempt_id)
             if task is None:
-                del self._checkpoint_sent_ms_by_task[task_id]
+                del self._checkpoint_sent_ms_by_attempt[attempt_id]
             elif now_ms - sent_ms >= CHECKPOINT_TIMEOUT_MS:
-                del self._checkpoint_sent_ms_by_task[task_id]
+                del self._checkpoint_sent_ms_by_attempt[attempt_id]
                 found.append(_make_eviction(task, EvictionAction.STOP))
         return found
 
-    def _mark_throttle_ignored(self, task_id: str) -> None:
-        task = self._allocations.running_by_id.get(task_id)
+    def _mark_throttle_ignored(self, attempt_id: str) -> None:
+        task = self._allocations.running_by_id.get(attempt_id)
         if task is not None:
             task.ignores_throttle = True
             task.is_being_evicted = False
@@ -178,7 +184,7 @@
 
     def _record_all(self, evictions: list[Eviction], now_ms: int) -> None:
         for eviction in evictions:
-            task = self._allocations.running_by_id[eviction.task_id]
+            task = self._allocations.running_by_id[eviction.attempt_id]
             self._record_eviction(eviction, task, now_ms)
 
     def _record_eviction(
@@ -186,10 +192,10 @@
     ) -> None:
         task.is_being_evicted = True
         if eviction.action is EvictionAction.THROTTLE:
-            self._throttled_by_task[eviction.task_id] = task
-            self._throttle_sent_ms_by_task[eviction.task_id] = now_ms
+            self._throttled_by_attempt[eviction.attempt_id] = task
+            self._throttle_sent_ms_by_attempt[eviction.attempt_id] = now_ms
         else:
-            self._checkpoint_sent_ms_by_task[eviction.task_id] = now_ms
+            self._checkpoint_sent_ms_by_attempt[eviction.attempt_id] = now_ms
 
 
 def _plan_on_worker(
@@ -279,4 +285,4 @@
     task: RunningTask, action: EvictionAction, cpu_millis: int = 0
 ) -> Eviction:
     worker_id = task.worker.shape.worker_id
-    return Eviction(task.request.task_id, worker_id, action, cpu_millis)
+    return Eviction(task.request.attempt_id, worker_id, action, cpu_millis)
--- a/src/magnoliapitch/decision/retry.py
+++ b/src/magnoliapitch/decision/retry.py
@@ -39,29 +39,29 @@
         earned = min(MAX_BUDGET_RETRIES, budget + BUDGET_RETRIES_PER_START)
         self._budget_by_entry[entry] = earned
 
-    def record_failure(self, task_id: str) -> None:
+    def record_failure(self, attempt_id: str) -> None:
         """Record that an attempt of a task failed.
 
-        :param task_id: id of the attempt, ``JOB/TASK/ATTEMPT``.
+        :param attempt_id: id of the attempt, ``JOB/TASK/ATTEMPT``.
         """
-        key = _task_key(task_id)
+        key = _task_key(attempt_id)
         self._failures_by_task[key] = self._failures_by_task.get(key, 0) + 1
 
-    def forget_task(self, task_id: str) -> None:
+    def forget_task(self, attempt_id: str) -> None:
         """Remove the failures of a task that needs no more attempts."""
-        self._failures_by_task.pop(_task_key(task_id), None)
+        self._failures_by_task.pop(_task_key(attempt_id), None)
 
-    def failures(self, task_id: str) -> int:
+    def failures(self, attempt_id: str) -> int:
         """Return how many attempts of a task have failed."""
-        return self._failures_by_task.get(_task_key(task_id), 0)
+        return self._failures_by_task.get(_task_key(attempt_id), 0)
 
-    def delay_ms(self, entry: str, task_id: str) -> int:
+    def delay_ms(self, entry: str, attempt_id: str) -> int:
         """Return the delay of the next attempt, 0 if none has failed.
 
         This takes one retry from the budget of the entry. If less than one is
         left there, the budget stays and the delay may be longer.
         """
-        failures = self.failures(task_id)
+        failures = self.failures(attempt_id)
         if not failures:
             return 0
         exponent = min(failures - 1, MAX_BACKOFF_EXPONENT)
@@ -73,17 +73,17 @@
             self._budget_by_entry[entry] = budget - 1
         return 1 + int(self._random.integers(limit_ms))
 
-    def min_memory_mb(self, task_id: str, declared_mb: int) -> int:
+    def min_memory_mb(self, attempt_id: str, declared_mb: int) -> int:
         """Return the least memory for the next attempt, 0 if none has failed.
 
         :param declared_mb: memory that the task declares.
         """
-        failures = self.failures(task_id)
+        failures = self.failures(attempt_id)
         if not failures:
             return 0
         return int(declared_mb * MEMORY_GROWTH_FACTOR**failures)
 
 
-def _task_key(task_id: str) -> str:
+def _task_key(attempt_id: str) -> str:
     """Return the ``JOB/TASK`` part of an attempt id."""
-    return task_id.rpartition("/")[0]
+    return attempt_id.rpartition("/")[0]
--- a/src/magnoliapitch/decision/synchronized.py
+++ b/src/magnoliapitch/decision/synchronized.py
@@ -64,28 +64,28 @@
             self._scheduler.submit(tasks)
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Remove the queued tasks of a job; return its running task ids."""
+        """Remove the queued tasks of a job; return its running attempt ids."""
         with self._lock:
             return self._scheduler.cancel(job_id)
 
     def record_task_end(
-        self, task_id: str, outcome: TaskOutcome, now_ms: int
+        self, attempt_id: str, outcome: TaskOutcome, now_ms: int
     ) -> None:
         """Release the resources of a task that is certain to have ended."""
         with self._lock:
-            self._scheduler.record_task_end(task_id, outcome, now_ms)
+            self._scheduler.record_task_end(attempt_id, outcome, now_ms)
 
     def report_usage(
-        self, task_id: str, usage: Resources, now_ms: int
+        self, attempt_id: str, usage: Resources, now_ms: int
     ) -> None:
         """Record the resource usage that a running task reported."""
         with self._lock:
-            self._scheduler.report_usage(task_id, usage, now_ms)
+            self._scheduler.report_usage(attempt_id, usage, now_ms)
 
-    def record_resize(self, task_id: str, reserved: Resources) -> None:
+    def record_resize(self, attempt_id: str, reserved: Resources) -> None:
         """Record that a worker confirmed the new size of a running task."""
         with self._lock:
-            self._scheduler.record_resize(task_id, reserved)
+            self._scheduler.record_resize(attempt_id, reserved)
 
     def decide(self, now_ms: int) -> Decision:
         """Return what to start and evict now; each call does bounded work."""
@@ -98,11 +98,11 @@
             return self._scheduler.explain(job_id, now_ms)
 
     def infeasibility_reason(
-        self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
+        self, task: TaskRequest, workers: tuple[WorkerShape, ...]
     ) -> str:
-        """Return why a task can never run on a fleet, or an empty string."""
+        """Return why a task can never run on these workers, or ''."""
         with self._lock:
-            return self._scheduler.infeasibility_reason(task, fleet)
+            return self._scheduler.infeasibility_reason(task, workers)
 
     def free_capacity(self) -> Resources:
         """Return the capacity that is neither reserved nor withheld."""
--- a/src/magnoliapitch/decision/weighted.py
+++ b/src/magnoliapitch/decision/weighted.py
@@ -124,7 +124,7 @@
         self._health.remove(worker_id)
         for task in self._allocations.remove_worker(worker_id):
             request = task.request
-            self._queue.forget_running(request.job_id, request.task_id)
+            self._queue.forget_running(request.job_id, request.attempt_id)
 
     def set_withheld(self, worker_id: str, withheld: Resources) -> None:
         """Set the capacity of a worker that must not be used."""
@@ -134,36 +134,36 @@
         self, task: TaskRequest, worker_id: str, reserved: Resources
     ) -> None:
         """Add a task that is already running."""
-        if task.task_id in self._allocations.running_by_id:
+        if task.attempt_id in self._allocations.running_by_id:
             return
-        self._queue.remove_task(task.task_id)
+        self._queue.remove_task(task.attempt_id)
         job = self._queue.get_or_create_job(task.job_id, task.submitted_ms)
-        job.running[task.task_id] = None
+        job.running[task.attempt_id] = None
         self._allocations.adopt(task, worker_id, reserved)
 
     def submit(self, tasks: tuple[TaskRequest, ...]) -> None:
         """Add tasks to the queue; ignore those whose id is known."""
         self._submission_count += 1
         new_tasks = (
-            task for task in tasks if not self._is_known(task.task_id)
+            task for task in tasks if not self._is_known(task.attempt_id)
         )
         for _, members in groupby(new_tasks, self._group_key):
             self._submit_group(tuple(members))
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
-        """Remove the queued tasks of a job; return its running task ids."""
+        """Remove the queued tasks of a job; return its running attempt ids."""
         self._health.forget_job(job_id)
         return self._queue.cancel(job_id)
 
     def record_task_end(
-        self, task_id: str, outcome: TaskOutcome, now_ms: int
+        self, attempt_id: str, outcome: TaskOutcome, now_ms: int
     ) -> None:
         """Release the resources of a task that is certain to have ended."""
-        task = self._allocations.end(task_id)
+        task = self._allocations.end(attempt_id)
         if task is None:
-            self._queue.remove_task(task_id)
+            self._queue.remove_task(attempt_id)
             return
-        self._queue.forget_running(task.request.job_id, task_id)
+        self._queue.forget_running(task.request.job_id, attempt_id)
         if outcome is TaskOutcome.FINISHED:
             self._handle_success(task, now_ms)
         elif outcome is TaskOutcome.FAILED:
@@ -172,10 +172,10 @@
             self._health.record_lost(task)
 
     def report_usage(
-        self, task_id: str, usage: Resources, now_ms: int
+        self, attempt_id: str, usage: Resources, now_ms: int
     ) -> None:
         """Record the resource usage that a running task reported."""
-        task = self._allocations.running_by_id.get(task_id)
+        task = self._allocations.running_by_id.get(attempt_id)
         if task is None:
             return
         task.peak_usage = Resources(
@@ -192,9 +192,9 @@
         if usage.memory_mb > task.reserved.memory_mb:
             self._handle_memory_growth(task, usage.memory_mb, now_ms)
 
-    def record_resize(self, task_id: str, reserved: Resources) -> None:
+    def record_resize(self, attempt_id: str, reserved: Resources) -> None:
         """Record that a worker confirmed the new size of a running task."""
-        task = self._allocations.running_by_id.get(task_id)
+        task = self._allocations.running_by_id.get(attempt_id)
         if task is None or reserved.cpu_millis >= task.reserved.cpu_millis:
             return
         self._reclaimer.confirm_throttle(task)
@@ -236,7 +236,7 @@
                 self._reclaimer.lift_throttles(MAX_LIFTED_THROTTLES)
             )
         for placement in decision_round.placements:
-            task = self._allocations.running_by_id[placement.task_id]
+            task = self._allocations.running_by_id[placement.attempt_id]
             self._retry.record_start(task.request.entry)
         self._start_rate.record_starts(len(decision_round.placements), now_ms)
         return decision_round.decision(has_more)
@@ -249,11 +249,11 @@
         return explain_wait(self._queue, job, self._start_rate, now_ms)
 
     def infeasibility_reason(
-        self, task: TaskRequest, fleet: tuple[WorkerShape, ...]
+        self, task: TaskRequest, workers: tuple[WorkerShape, ...]
     ) -> str:
-        """Return why a task can never run on a fleet, or an empty string."""
+        """Return why a task can never run on these workers, or ''."""
         return find_infeasibility(
-            task, fleet, self._allocations.quota_usage, self._estimates
+            task, workers, self._allocations.quota_usage, self._estimates
         )
 
     def free_capacity(self) -> Resources:
@@ -268,10 +268,10 @@
         """Return how many workers were examined so far, a measure of cost."""
         return self._allocations.workers.probes
 
-    def _is_known(self, task_id: str) -> bool:
+    def _is_known(self, attempt_id: str) -> bool:
         return (
-            task_id in self._queue.groups_by_task
-            or task_id in self._allocations.running_by_id
+            attempt_id in self._queue.groups_by_attempt
+            or attempt_id in self._allocations.running_by_id
         )
 
     def _is_idle(self) -> bool:
@@ -281,11 +281,15 @@
         )
 
     def _group_key(self, task: TaskRequest) -> tuple[str, Resources, str]:
-        failed = bool(self._retry.failures(task.task_id))
+        failed = bool(self._retry.failures(task.attempt_id))
         is_separate = (
-            failed or _task_key(task.task_id) in self._min_memory_mb_by_task
+            failed or _task_key(task.attempt_id) in self._min_memory_mb_by_task
+        )
+        return (
+            task.job_id,
+            task.resources,
+            task.attempt_id if is_separate else "",
         )
-        return task.job_id, task.resources, task.task_id if is_separate else ""
 
     def _submit_group(self, tasks: tuple[TaskRequest, ...]) -> None:
         first = tasks[0]
@@ -295,13 +299,13 @@
         if first.gang_size > 1 and job.groups:
             group = job.groups[0]
             group.template = group.template._replace(gang_size=first.gang_size)
-            group.tasks_by_id.update({task.task_id: task for task in tasks})
+            group.tasks_by_id.update({task.attempt_id: task for task in tasks})
             self._queue.add_waiting(group, tasks)
             return
         declared_mb = first.resources.memory_mb
         min_memory_mb = max(
-            self._min_memory_mb_by_task.get(_task_key(first.task_id), 0),
-            self._retry.min_memory_mb(first.task_id, declared_mb),
+            self._min_memory_mb_by_task.get(_task_key(first.attempt_id), 0),
+            self._retry.min_memory_mb(first.attempt_id, declared_mb),
         )
         group = TaskGroup(job, tasks, min_memory_mb)
         self._finder.refresh_estimates(group)
@@ -313,7 +317,7 @@
             self._queue.push(group)
 
     def _delay_ms(self, task: TaskRequest, group: TaskGroup) -> int:
-        delay_ms = self._retry.delay_ms(task.entry, task.task_id)
+        delay_ms = self._retry.delay_ms(task.entry, task.attempt_id)
         if not delay_ms or not self._health.fails_everywhere(task.job_id):
             return delay_ms
         group.wait_reason = "the job failed on several workers"
@@ -321,8 +325,8 @@
 
     def _handle_success(self, task: RunningTask, now_ms: int) -> None:
         request = task.request
-        self._retry.forget_task(request.task_id)
-        self._min_memory_mb_by_task.pop(_task_key(request.task_id), None)
+        self._retry.forget_task(request.attempt_id)
+        self._min_memory_mb_by_task.pop(_task_key(request.attempt_id), None)
         if not task.is_usage_recorded:
             self._learn_usage(task)
         if task.reserved.cpu_millis >= task.initially_reserved.cpu_millis:
@@ -333,7 +337,7 @@
             self._allocations.mark_freed(task.worker)
 
     def _handle_failure(self, task: RunningTask, now_ms: int) -> None:
-        self._retry.record_failure(task.request.task_id)
+        self._retry.record_failure(task.request.attempt_id)
         if self._health.record_failure(task, now_ms):
             self._allocations.workers.set_accepts_tasks(task.worker, False)
 
@@ -363,7 +367,7 @@
         if victim is None or victim.is_being_evicted:
             return
         if victim is task:
-            key = _task_key(task.request.task_id)
+            key = _task_key(task.request.attempt_id)
             self._min_memory_mb_by_task[key] = (
                 memory_mb * MIN_MEMORY_PERCENT // 100
             )
@@ -382,8 +386,10 @@
             return
         self._finder.refresh_estimates(group)
         if group.size.fits(worker.free):
-            task_id = self._dispatcher.start_on(decision_round, group, worker)
-            self._health.record_probe(worker_id, task_id)
+            attempt_id = self._dispatcher.start_on(
+                decision_round, group, worker
+            )
+            self._health.record_probe(worker_id, attempt_id)
 
 
 def _select_growth_victim(task: RunningTask) -> RunningTask | None:
@@ -403,6 +409,6 @@
     return min(bulk, key=lambda item: item.reserved.cpu_millis, default=None)
 
 
-def _task_key(task_id: str) -> str:
+def _task_key(attempt_id: str) -> str:
     """Return the ``JOB/TASK`` part of an attempt id."""
-    return task_id.rpartition("/")[0]
+    return attempt_id.rpartition("/")[0]
--- a/src/magnoliapitch/job/channel.py
+++ b/src/magnoliapitch/job/channel.py
@@ -156,7 +156,7 @@
         boot_id = view.boot_id if view else ""
         attempt.mark_sent(boot_id, self.fence.grant_expiry_ms())
         return LeaseGrant(
-            attempt.task.task_id,
+            attempt.task.attempt_id,
             self.fence.owner.epoch,
             attempt.expires_at_ms,
             resources=attempt.reserved,
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -336,7 +336,7 @@
 
     def _place(self, placements: tuple[Placement, ...], now_ms: int) -> None:
         for placement in placements:
-            name = parse_lease_id(placement.task_id)
+            name = parse_lease_id(placement.attempt_id)
             channel = self._channels_by_worker.get(placement.worker_id)
             if name is None or channel is None:
                 continue
@@ -356,7 +356,7 @@
             self._metrics.observe("task_wait", waited_ms, task.work_class)
             releasing = self._is_releasing(channel)
             if channel.accepts_starts and not releasing:
-                channel.starts[task.task_id] = None
+                channel.starts[task.attempt_id] = None
             else:
                 self._tracker.take_back(channel, attempt, now_ms)
 
@@ -371,13 +371,13 @@
             if channel is None:
                 continue
             if eviction.action is EvictionAction.THROTTLE:
-                channel.throttles_by_lease[eviction.task_id] = (
+                channel.throttles_by_lease[eviction.attempt_id] = (
                     eviction.cpu_millis
                 )
             elif eviction.action is EvictionAction.CHECKPOINT:
-                channel.checkpoints[eviction.task_id] = None
+                channel.checkpoints[eviction.attempt_id] = None
             else:
-                channel.stops[eviction.task_id] = None
+                channel.stops[eviction.attempt_id] = None
 
     def _dispatch(self, channel: WorkerChannel, now_ms: int) -> None:
         releasing = self._is_releasing(channel)
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -67,7 +67,7 @@
     def lease_ids(self) -> tuple[str, ...]:
         """Return the lease ids of all attempts."""
         return tuple(
-            attempt.task.task_id
+            attempt.task.attempt_id
             for attempts_by_number in self._attempts_by_task.values()
             for attempt in attempts_by_number.values()
         )
@@ -76,7 +76,7 @@
         """Track an attempt on a worker."""
         attempts_by_number = self._attempts_by_task.setdefault(attempt.key, {})
         attempts_by_number[attempt.name.attempt] = attempt
-        channel.attempts_by_lease[attempt.task.task_id] = attempt
+        channel.attempts_by_lease[attempt.task.attempt_id] = attempt
 
     def is_unsure(self, channel: WorkerChannel) -> bool:
         """Return whether a grant may still arrive at a worker."""
@@ -147,7 +147,7 @@
         :param now_ms: time from which it may be placed.
         """
         self._forget(channel, attempt)
-        lease_id = attempt.task.task_id
+        lease_id = attempt.task.attempt_id
         self._scheduler.record_task_end(lease_id, TaskOutcome.LOST, now_ms)
         self._backlog.add_task(attempt.key, now_ms)
 
@@ -156,7 +156,7 @@
         for attempt in list(channel.attempts_by_lease.values()):
             self._forget(channel, attempt)
             if attempt.state is not AttemptState.ENDED:
-                lease_id = attempt.task.task_id
+                lease_id = attempt.task.attempt_id
                 self._scheduler.record_task_end(
                     lease_id, TaskOutcome.LOST, now_ms
                 )
@@ -197,7 +197,7 @@
             channel = channels_by_worker.get(attempt.worker_id)
             if channel is None or number >= counted:
                 continue
-            channel.stops[attempt.task.task_id] = None
+            channel.stops[attempt.task.attempt_id] = None
             if attempt.state is AttemptState.ENDED:
                 self._forget(channel, attempt)
         if key not in self._attempts_by_task and not held:
@@ -269,7 +269,9 @@
         now_ms: int,
     ) -> None:
         attempt.mark_ended(outcome)
-        self._scheduler.record_task_end(attempt.task.task_id, outcome, now_ms)
+        self._scheduler.record_task_end(
+            attempt.task.attempt_id, outcome, now_ms
+        )
         self._repeat_end(channel, attempt)
 
     def _repeat_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
@@ -282,7 +284,7 @@
                 job is None or job.is_done or job.unit != channel.worker.unit
             )
         if is_over or counted > attempt.name.attempt:
-            channel.stops[attempt.task.task_id] = None
+            channel.stops[attempt.task.attempt_id] = None
             self._forget(channel, attempt)
             self._backlog.add_task(key, 0)
             return
@@ -333,8 +335,8 @@
         self._observe_listed(channel, attempt, lease, now_ms)
 
     def _forget(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        channel.attempts_by_lease.pop(attempt.task.task_id, None)
-        channel.starts.pop(attempt.task.task_id, None)
+        channel.attempts_by_lease.pop(attempt.task.attempt_id, None)
+        channel.starts.pop(attempt.task.attempt_id, None)
         attempts_by_number = self._attempts_by_task.get(attempt.key, {})
         if attempts_by_number.get(attempt.name.attempt) is attempt:
             del attempts_by_number[attempt.name.attempt]
--- a/tests/decision/conftest.py
+++ b/tests/decision/conftest.py
@@ -57,13 +57,13 @@
     """A scheduler with simulated workers and a clock that tests advance.
 
     :ivar now_ms: current time.
-    :ivar worker_by_task: worker of each running task, by task id.
+    :ivar worker_by_attempt: worker of each running task, by attempt id.
     """
 
     def __init__(self, weights: PolicyWeights = NO_PREFERENCE) -> None:
         self.scheduler = WeightedScheduler(PolicyOptions(weights))
         self.now_ms = 0
-        self.worker_by_task: dict[str, str] = {}
+        self.worker_by_attempt: dict[str, str] = {}
 
     def add_workers(
         self, count: int, cores: int = 4, accelerators: int = 0
@@ -94,17 +94,17 @@
         self.now_ms += after_ms
         decision = self.scheduler.decide(self.now_ms)
         for placement in decision.placements:
-            self.worker_by_task[placement.task_id] = placement.worker_id
+            self.worker_by_attempt[placement.attempt_id] = placement.worker_id
         return decision
 
     def start_tasks(self, after_ms: int = 0) -> list[str]:
-        return [item.task_id for item in self.decide(after_ms).placements]
+        return [item.attempt_id for item in self.decide(after_ms).placements]
 
     def end(
-        self, task_id: str, outcome: TaskOutcome = TaskOutcome.FINISHED
+        self, attempt_id: str, outcome: TaskOutcome = TaskOutcome.FINISHED
     ) -> None:
-        del self.worker_by_task[task_id]
-        self.scheduler.record_task_end(task_id, outcome, self.now_ms)
+        del self.worker_by_attempt[attempt_id]
+        self.scheduler.record_task_end(attempt_id, outcome, self.now_ms)
 
 
 @pytest.fixture
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -10,7 +10,7 @@
 from tests.decision.conftest import task
 
 
-FLEET = (
+WORKERS = (
     WorkerShape("w0", "r", "z", Resources(4_000, 8_000, 0)),
     WorkerShape("w1", "r", "z", Resources(8_000, 4_000, 2)),
 )
@@ -30,7 +30,7 @@
     harness: SchedulerHarness, request_: TaskRequest, hint: str
 ) -> None:
     harness.set_entry("small", "clubs", Limits(memory_mb=1_500))
-    assert hint in harness.scheduler.infeasibility_reason(request_, FLEET)
+    assert hint in harness.scheduler.infeasibility_reason(request_, WORKERS)
 
 
 def test_infeasibility_is_checked_again_when_the_catalogue_changes(
@@ -38,7 +38,7 @@
 ) -> None:
     wanted = task(entry="small", cores=2)
     harness.set_entry("small", "clubs", Limits(memory_mb=1_500))
-    assert harness.scheduler.infeasibility_reason(wanted, FLEET)
+    assert harness.scheduler.infeasibility_reason(wanted, WORKERS)
     harness.set_entry("small", "clubs", Limits(memory_mb=2_000))
-    assert harness.scheduler.infeasibility_reason(wanted, FLEET) == ""
+    assert harness.scheduler.infeasibility_reason(wanted, WORKERS) == ""
     assert harness.scheduler.infeasibility_reason(wanted, ()) == ""
--- a/tests/decision/test_failures.py
+++ b/tests/decision/test_failures.py
@@ -16,10 +16,10 @@
         owner = f"owner{number % 3}"
         jobs = [task(f"j{number}-{n}", owner=owner, cores=4) for n in range(4)]
         harness.submit(*jobs)
-        for task_id in harness.start_tasks(1_000):
-            broken = harness.worker_by_task[task_id] == worker_id
+        for attempt_id in harness.start_tasks(1_000):
+            broken = harness.worker_by_attempt[attempt_id] == worker_id
             outcome = TaskOutcome.FAILED if broken else TaskOutcome.FINISHED
-            harness.end(task_id, outcome)
+            harness.end(attempt_id, outcome)
 
 
 def test_worker_that_fails_everything_is_quarantined_and_probed(
@@ -32,7 +32,7 @@
     assert len(harness.start_tasks(1_000)) == 3
     probe = harness.decide(40_000).placements
     assert [item.worker_id for item in probe] == ["w1"]
-    harness.end(probe[0].task_id)
+    harness.end(probe[0].attempt_id)
     assert harness.scheduler._health.quarantined_workers() == ()
 
 
@@ -43,8 +43,8 @@
         harness.submit(
             *(task(f"j{number}-{n}", owner=owner, cores=4) for n in range(4))
         )
-        for task_id in harness.start_tasks(1_000):
-            harness.end(task_id, TaskOutcome.FAILED)
+        for attempt_id in harness.start_tasks(1_000):
+            harness.end(attempt_id, TaskOutcome.FAILED)
     assert len(harness.scheduler._health.quarantined_workers()) == 1
 
 
@@ -55,10 +55,10 @@
     for attempt in range(20):
         harness.submit(task("broken", 0, attempt, cores=4))
         harness.submit(*(task(f"g{attempt}-{n}", cores=4) for n in range(4)))
-        for task_id in harness.start_tasks(700_000):
-            failed = task_id.startswith("broken")
+        for attempt_id in harness.start_tasks(700_000):
+            failed = attempt_id.startswith("broken")
             outcome = TaskOutcome.FAILED if failed else TaskOutcome.FINISHED
-            harness.end(task_id, outcome)
+            harness.end(attempt_id, outcome)
     assert harness.scheduler._health.quarantined_workers() == ()
 
 
@@ -109,7 +109,7 @@
     harness.add_workers(2)
     harness.submit(*(task("j", n, cores=4) for n in range(2)))
     harness.decide()
-    lost = harness.worker_by_task["j/0/0"]
+    lost = harness.worker_by_attempt["j/0/0"]
     harness.scheduler.remove_worker(lost)
     harness.submit(task("j", 0, 1, cores=4))
     assert harness.start_tasks(50) == []
--- a/tests/decision/test_gang.py
+++ b/tests/decision/test_gang.py
@@ -53,7 +53,7 @@
     harness.add_workers(3)
     harness.submit(*gang("gang", 2))
     harness.decide()
-    harness.scheduler.remove_worker(harness.worker_by_task["gang/0/0"])
+    harness.scheduler.remove_worker(harness.worker_by_attempt["gang/0/0"])
     replacement = task(
         "gang", 0, 1, work_class=WorkClass.GANG, cores=4, gang_size=2
     )
@@ -71,8 +71,8 @@
         now = harness.start_tasks(20_000)
         assert len({item.split("/")[0] for item in now}) <= 1
         started += now
-        for task_id in now:
-            harness.end(task_id)
+        for attempt_id in now:
+            harness.end(attempt_id)
     assert len(started) == 4
 
 
--- a/tests/decision/test_order.py
+++ b/tests/decision/test_order.py
@@ -81,7 +81,7 @@
         *(task("j", n, cores=4)._replace(unit="rack1") for n in range(3))
     )
     harness.decide()
-    assert set(harness.worker_by_task.values()) == {"w1", "w3"}
+    assert set(harness.worker_by_attempt.values()) == {"w1", "w3"}
 
 
 def test_services_spread_over_racks(harness: SchedulerHarness) -> None:
@@ -90,7 +90,7 @@
         *(task("web", n, work_class=WorkClass.SERVICE) for n in range(4))
     )
     harness.decide()
-    racks = [int(item[1:]) % 2 for item in harness.worker_by_task.values()]
+    racks = [int(item[1:]) % 2 for item in harness.worker_by_attempt.values()]
     assert sorted(racks) == [0, 0, 1, 1]
 
 
@@ -152,7 +152,7 @@
     harness.submit(task("j2", owner="second", entry="b"))
     evictions = harness.decide(50).evictions
     assert [item.action for item in evictions] == [EvictionAction.CHECKPOINT]
-    harness.end(evictions[0].task_id, TaskOutcome.LOST)
+    harness.end(evictions[0].attempt_id, TaskOutcome.LOST)
     assert harness.start_tasks(50) == ["j2/0/0"]
 
 
@@ -175,7 +175,7 @@
     harness.add_workers(1)
     harness.submit(*(task("bulk", number) for number in range(4)))
     harness.decide()
-    assert set(harness.worker_by_task.values()) == {"w1"}
+    assert set(harness.worker_by_attempt.values()) == {"w1"}
     harness.submit(task("photos", accelerators=2))
     assert harness.start_tasks(50) == ["photos/0/0"]
 
@@ -188,7 +188,7 @@
     harness.submit(*(task("small", number) for number in range(4)))
     harness.submit(task("large", cores=16))
     assert len(harness.start_tasks()) == 5
-    assert harness.worker_by_task["large/0/0"] == "w0"
+    assert harness.worker_by_attempt["large/0/0"] == "w0"
 
 
 def test_cancel_removes_queued_tasks_and_returns_running_ones(
@@ -200,8 +200,8 @@
     harness.decide()
     running = harness.scheduler.cancel("wave")
     assert (len(running), harness.scheduler.queued_count()) == (4, 1)
-    for task_id in running:
-        harness.end(task_id, TaskOutcome.CANCELLED)
+    for attempt_id in running:
+        harness.end(attempt_id, TaskOutcome.CANCELLED)
     assert harness.start_tasks(50) == ["other/0/0"]
     assert harness.scheduler.cancel("wave") == ()
 
--- a/tests/decision/test_sizes.py
+++ b/tests/decision/test_sizes.py
@@ -20,10 +20,10 @@
     placement = harness.decide(1_000).placements[0]
     for _ in range(2):
         harness.scheduler.report_usage(
-            placement.task_id, usage, harness.now_ms
+            placement.attempt_id, usage, harness.now_ms
         )
     harness.now_ms += 5_000
-    harness.end(placement.task_id)
+    harness.end(placement.attempt_id)
     return placement.reserved
 
 
@@ -87,7 +87,7 @@
     harness.end("web/0/0")
     placement = harness.decide(1_000).placements[0]
     assert placement.reserved.memory_mb >= 2_500
-    assert placement.task_id == "bulk/0/1"
+    assert placement.attempt_id == "bulk/0/1"
 
 
 def test_memory_growth_of_a_service_evicts_bulk_work(
@@ -98,7 +98,7 @@
     harness.submit(task("bulk", cores=2))
     harness.decide()
     harness.scheduler.report_usage("web/0/0", Resources(1, 2_001), 100)
-    assert harness.decide(50).evictions[0].task_id == "bulk/0/0"
+    assert harness.decide(50).evictions[0].attempt_id == "bulk/0/0"
 
 
 def test_withheld_capacity_is_not_used(harness: SchedulerHarness) -> None:
--- a/tests/job/test_backlog.py
+++ b/tests/job/test_backlog.py
@@ -45,7 +45,7 @@
             self.scheduler.submit(taken)
         started = []
         for placement in self.scheduler.decide(self.now_ms).placements:
-            number = int(placement.task_id.split("/")[1])
+            number = int(placement.attempt_id.split("/")[1])
             key = TaskKey("gang", number)
             assert self.backlog.pop(key) is not None
             self.active.add(key)
@@ -55,8 +55,8 @@
     def end(self, number: int, outcome: TaskOutcome) -> None:
         key = TaskKey("gang", number)
         attempt = self.job.attempts_by_task.get(number, 0)
-        task_id = f"gang/{number}/{attempt}"
-        self.scheduler.record_task_end(task_id, outcome, self.now_ms)
+        attempt_id = f"gang/{number}/{attempt}"
+        self.scheduler.record_task_end(attempt_id, outcome, self.now_ms)
         self.job.attempts_by_task[number] = attempt + 1
         self.job.ended_by_task[number] = outcome
         self.job.finished_tasks += outcome is TaskOutcome.FINISHED
