--- a/src/magnoliapitch/bench/decisions/scale.py
+++ b/src/magnoliapitch/bench/decisions/scale.py
@@ -236,7 +236,7 @@
 
 
 def _probe_count(scheduler: Scheduler) -> int:
-    probes = getattr(scheduler, "probes", None)
+    probes = getattr(scheduler, "examined_count", None)
     return int(probes()) if probes is not None else 0
 
 
--- a/src/magnoliapitch/decision/allocations.py
+++ b/src/magnoliapitch/decision/allocations.py
@@ -211,8 +211,8 @@
             task.worker.urgent_cpu_millis += task.reserved.cpu_millis
         if request.work_class is WorkClass.SERVICE:
             unit = task.worker.shape.unit
-            racks = self._task_counts_by_job.setdefault(request.job_id, {})
-            racks[unit] = racks.get(unit, 0) + 1
+            counts = self._task_counts_by_job.setdefault(request.job_id, {})
+            counts[unit] = counts.get(unit, 0) + 1
 
     def _remove_usage(self, task: RunningTask) -> None:
         request = task.request
@@ -221,9 +221,9 @@
             task.worker.urgent_cpu_millis -= task.reserved.cpu_millis
         if request.work_class is WorkClass.SERVICE:
             unit = task.worker.shape.unit
-            racks = self._task_counts_by_job[request.job_id]
-            racks[unit] -= 1
-            if not any(racks.values()):
+            counts = self._task_counts_by_job[request.job_id]
+            counts[unit] -= 1
+            if not any(counts.values()):
                 del self._task_counts_by_job[request.job_id]
 
 
--- a/src/magnoliapitch/decision/decision_round.py
+++ b/src/magnoliapitch/decision/decision_round.py
@@ -1,4 +1,4 @@
-"""State, limits and outcome of one call that decides."""
+"""State, limits and outcome of one call of ``decide``."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/decision/finder.py
+++ b/src/magnoliapitch/decision/finder.py
@@ -1,4 +1,4 @@
-"""Search for workers with estimated sizes, without repeated failures."""
+"""Search for a worker by estimated size, skipping searches sure to fail."""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/decision/health.py
+++ b/src/magnoliapitch/decision/health.py
@@ -86,15 +86,15 @@
     def __init__(self, is_enabled: bool) -> None:
         self._is_enabled = is_enabled
         self._health_by_worker: dict[str, WorkerHealth] = {}
-        self._workers_by_zone: dict[str, int] = {}
-        self._quarantined_by_zone: dict[str, int] = {}
+        self._worker_count_by_zone: dict[str, int] = {}
+        self._quarantined_count_by_zone: dict[str, int] = {}
         self._failed_workers_by_job: dict[str, set[str]] = {}
 
     def add(self, shape: WorkerShape) -> None:
         """Add a worker without failures."""
         self._health_by_worker[shape.worker_id] = WorkerHealth(shape)
-        count = self._workers_by_zone.get(shape.zone, 0)
-        self._workers_by_zone[shape.zone] = count + 1
+        count = self._worker_count_by_zone.get(shape.zone, 0)
+        self._worker_count_by_zone[shape.zone] = count + 1
 
     def remove(self, worker_id: str) -> None:
         """Remove a worker."""
@@ -102,9 +102,9 @@
         if health is None:
             return
         zone = health.shape.zone
-        self._workers_by_zone[zone] -= 1
+        self._worker_count_by_zone[zone] -= 1
         if health.is_quarantined:
-            self._quarantined_by_zone[zone] -= 1
+            self._quarantined_count_by_zone[zone] -= 1
 
     def record_success(self, task: RunningTask) -> bool:
         """Record the success of a task; return whether a quarantine ends."""
@@ -119,7 +119,7 @@
             return False
         health.is_quarantined = False
         health.probe_interval_ms = PROBE_INTERVAL_MS
-        self._quarantined_by_zone[health.shape.zone] -= 1
+        self._quarantined_count_by_zone[health.shape.zone] -= 1
         return True
 
     def record_failure(self, task: RunningTask, now_ms: int) -> bool:
@@ -140,8 +140,8 @@
         health.is_quarantined = True
         health.next_probe_ms = now_ms + health.probe_interval_ms
         zone = health.shape.zone
-        count = self._quarantined_by_zone.get(zone, 0)
-        self._quarantined_by_zone[zone] = count + 1
+        count = self._quarantined_count_by_zone.get(zone, 0)
+        self._quarantined_count_by_zone[zone] = count + 1
         return True
 
     def record_lost(self, task: RunningTask) -> None:
@@ -187,7 +187,7 @@
 
     def has_quarantined(self) -> bool:
         """Return whether any worker is quarantined."""
-        return any(self._quarantined_by_zone.values())
+        return any(self._quarantined_count_by_zone.values())
 
     def _record_job_failure(
         self, task: RunningTask, health: WorkerHealth
@@ -212,5 +212,7 @@
         if not self._is_enabled or not health.has_quarantine_evidence:
             return False
         zone = health.shape.zone
-        allowed = max(1, self._workers_by_zone[zone] * MAX_QUARANTINED_SHARE)
-        return self._quarantined_by_zone.get(zone, 0) + 1 <= allowed
+        allowed = max(
+            1, self._worker_count_by_zone[zone] * MAX_QUARANTINED_SHARE
+        )
+        return self._quarantined_count_by_zone.get(zone, 0) + 1 <= allowed
--- a/src/magnoliapitch/decision/placement.py
+++ b/src/magnoliapitch/decision/placement.py
@@ -19,8 +19,8 @@
     from magnoliapitch.decision.interface import WorkerShape
 
 
-MAX_PROBES = 32
-MAX_FALLBACK_PROBES = 8
+MAX_EXAMINED_WORKERS = 32
+MAX_FALLBACK_WORKERS = 8
 MAX_CANDIDATES = 8
 ACCELERATOR_SHARE_DIVISOR = 8
 HEADROOM_WORKER_INTERVAL = 4
@@ -57,7 +57,8 @@
 
     :param headroom: share of all CPU that bulk work leaves free.
     :ivar capacity: total capacity of all workers.
-    :ivar probes: number of workers examined so far, a measure of cost.
+    :ivar examined_count: number of workers examined so far, a measure of
+        cost.
     :ivar has_accelerator_work: whether any submitted task needs accelerators.
     :ivar version: counter that grows with each added or removed worker.
     """
@@ -65,7 +66,7 @@
     def __init__(self, headroom: float) -> None:
         self.by_id: dict[str, WorkerState] = {}
         self.capacity = NO_RESOURCES
-        self.probes = 0
+        self.examined_count = 0
         self.has_accelerator_work = False
         self.version = 0
         self._headroom_share = headroom
@@ -282,15 +283,17 @@
         self, index: FreeCpuIndex, need: PlacementNeed, now_ms: int
     ) -> WorkerState | None:
         cpu_millis = need.size.cpu_millis
-        if index.count <= MAX_PROBES:
+        if index.count <= MAX_EXAMINED_WORKERS:
             ordered = index.fullest_first(cpu_millis)
             return self._best(ordered, need, now_ms)
-        probes = self.probes
+        examined_before = self.examined_count
         found = self._best(index.fullest_first(cpu_millis), need, now_ms)
-        was_cut_short = self.probes - probes >= MAX_PROBES
+        was_cut_short = (
+            self.examined_count - examined_before >= MAX_EXAMINED_WORKERS
+        )
         if found is not None or not was_cut_short:
             return found
-        emptiest = islice(index.emptiest_first(), MAX_FALLBACK_PROBES)
+        emptiest = islice(index.emptiest_first(), MAX_FALLBACK_WORKERS)
         return self._best(emptiest, need, now_ms)
 
     def _best(
@@ -299,8 +302,8 @@
         best = None
         best_score = 0
         candidates = 0
-        for worker in islice(workers, MAX_PROBES):
-            self.probes += 1
+        for worker in islice(workers, MAX_EXAMINED_WORKERS):
+            self.examined_count += 1
             if not self.fits(worker, need, now_ms):
                 continue
             score = _score(worker, need)
@@ -333,6 +336,6 @@
     if capacity.accelerators and not size.accelerators:
         score += ACCELERATOR_PENALTY_MILLIS
     if need.service_tasks_by_unit is not None:
-        peers = need.service_tasks_by_unit.get(worker.shape.unit, 0)
-        score += peers * SPREAD_PENALTY_MILLIS
+        same_rack_tasks = need.service_tasks_by_unit.get(worker.shape.unit, 0)
+        score += same_rack_tasks * SPREAD_PENALTY_MILLIS
     return score
--- a/src/magnoliapitch/decision/queue.py
+++ b/src/magnoliapitch/decision/queue.py
@@ -60,7 +60,8 @@
         earlier attempt failed or used more than was reserved.
     :ivar size: resources to reserve for each task.
     :ivar run_ms: expected run time of each task.
-    :ivar version: version of the estimates behind these two.
+    :ivar version: version of the estimates from which ``size`` and
+        ``run_ms`` were computed.
     :ivar order_key: position among the bulk work of its owner, lowest first.
     :ivar not_before_ms: until when it is delayed; 0 if it is not.
     :ivar next_reservation_ms: when a start may be reserved for it again.
--- a/src/magnoliapitch/decision/reclaim.py
+++ b/src/magnoliapitch/decision/reclaim.py
@@ -102,7 +102,11 @@
     def plan_for_growth(
         self, task: RunningTask, now_ms: int
     ) -> list[Eviction]:
-        """Return a checkpoint of a task on a worker that ran out of memory."""
+        """Return a checkpoint of a task whose worker ran out of memory.
+
+        :returns: one eviction; empty if the task is being evicted already
+            or evictions are switched off.
+        """
         if task.is_being_evicted or not self._is_enabled:
             return []
         eviction = _make_eviction(task, EvictionAction.CHECKPOINT)
@@ -110,7 +114,7 @@
         return [eviction]
 
     def lift_throttles(self, limit: int) -> list[Eviction]:
-        """Return throttles back to the initial CPU where capacity is free.
+        """Return throttles that restore the initial CPU where it is free.
 
         :param limit: number of throttled tasks to examine at most.
         """
--- a/src/magnoliapitch/decision/weighted.py
+++ b/src/magnoliapitch/decision/weighted.py
@@ -110,6 +110,7 @@
     def set_catalogue(self, by_name: Mapping[str, CatalogueEntry]) -> None:
         """Replace the catalogue."""
         self._allocations.quota_usage.set_catalogue(by_name)
+        # A larger quota may let tasks start, as freed capacity does.
         self._allocations.freed_count += 1
 
     def add_worker(self, worker: WorkerShape) -> None:
@@ -264,9 +265,9 @@
         """Return the number of queued tasks."""
         return self._queue.waiting
 
-    def probes(self) -> int:
+    def examined_count(self) -> int:
         """Return how many workers were examined so far, a measure of cost."""
-        return self._allocations.workers.probes
+        return self._allocations.workers.examined_count
 
     def _is_known(self, attempt_id: str) -> bool:
         return (
@@ -275,6 +276,7 @@
         )
 
     def _is_idle(self) -> bool:
+        """Return whether nothing has changed since no more could start."""
         return self._idle_version == (
             self._allocations.freed_count,
             self._submission_count,
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -29,9 +29,9 @@
 CLAIM_INTERVAL_MS = 200
 LOG_MAX_AGE_MS = 2_000
 TAKEOVER_AFTER_MS = 3_000
-MEMBERS_STABLE_MS = 10_000
+LIVE_INSTANCES_STABLE_MS = 10_000
 HANDOVER_INTERVAL_MS = 5_000
-# Time in which an owner that hands a group over comes down to half its slots.
+# Time until an owner that hands a group over uses at most half of its slots.
 GROUP_RELEASE_DELAY_MS = REQUEST_MAX_MS
 UNIT_ROLES = (InstanceRole.WORKER, InstanceRole.BACKEND_SERVER)
 
@@ -43,7 +43,7 @@
     ``assign_units`` gives to it and that have no owner, an owner silent for
     ``TAKEOVER_AFTER_MS``, or an earlier incarnation of the instance as owner.
     An owner starts to hand over one unit every ``HANDOVER_INTERVAL_MS``, once
-    the set of live instances has not changed for ``MEMBERS_STABLE_MS``.
+    the set of live instances has not changed for ``LIVE_INSTANCES_STABLE_MS``.
     Without a complete read of the log in the last ``LOG_MAX_AGE_MS``, nothing
     changes.
     """
@@ -66,8 +66,8 @@
         self._pending_by_unit: dict[str, PendingEntry] = {}
         self._owned_since_ms_by_claim: dict[tuple[str, int], int] = {}
         self._release_started_ms_by_unit: dict[str, int] = {}
-        self._members: frozenset[str] = frozenset()
-        self._members_since_ms = 0
+        self._live_instances: frozenset[str] = frozenset()
+        self._live_instances_since_ms = 0
         self._last_handover_ms = 0
         self._owned_offset = -1
         self._owned_by_unit: dict[str, Claim] = {}
@@ -150,12 +150,12 @@
             running = self._zone_members.running_predecessors(claim)
             stopped_at_ms = self._zone_members.stopped_at_ms(claim, now_ms)
             is_releasing = unit in self._release_started_ms_by_unit
-        read_ms = self._journal.last_caught_up_ms
+        caught_up_ms = self._journal.last_caught_up_ms
         return slot_share(
             claim,
             now_ms,
             since_ms,
-            read_ms,
+            caught_up_ms,
             len(running),
             stopped_at_ms,
             is_releasing=is_releasing,
@@ -164,7 +164,7 @@
     def _observe(self, now_ms: int) -> None:
         self._zone_members.observe(self._membership.peers(), now_ms)
         own_claims = {
-            (unit, c.epoch) for unit, c in self.owned_claims().items()
+            (unit, claim.epoch) for unit, claim in self.owned_claims().items()
         }
         self._owned_since_ms_by_claim = {
             key: self._owned_since_ms_by_claim.get(key, now_ms)
@@ -173,16 +173,19 @@
         own_units = {unit for unit, _ in own_claims}
         for unit in set(self._release_started_ms_by_unit) - own_units:
             del self._release_started_ms_by_unit[unit]
-        members = self._zone_members.live_instances()
+        live_instances = self._zone_members.live_instances()
         if not self._membership.leaving:
-            members |= {self._identity.instance_id}
-        if members != self._members:
-            self._members = members
-            self._members_since_ms = now_ms
+            live_instances |= {self._identity.instance_id}
+        if live_instances != self._live_instances:
+            self._live_instances = live_instances
+            self._live_instances_since_ms = now_ms
 
     def _is_log_fresh(self, now_ms: int) -> bool:
-        read_ms = self._journal.last_caught_up_ms
-        return read_ms is not None and now_ms - read_ms <= LOG_MAX_AGE_MS
+        caught_up_ms = self._journal.last_caught_up_ms
+        return (
+            caught_up_ms is not None
+            and now_ms - caught_up_ms <= LOG_MAX_AGE_MS
+        )
 
     def _rebalance(self, now_ms: int) -> None:
         with self._journal.reading() as state:
@@ -192,7 +195,7 @@
                 item.unit
                 for item in self._fleet.of_role(role, self._identity.zone)
             }
-            target_by_unit = assign_units(units, self._members)
+            target_by_unit = assign_units(units, self._live_instances)
             for unit, target in target_by_unit.items():
                 claim = claims_by_unit.get(unit)
                 self._reconcile(unit, claim, target, role, now_ms)
@@ -247,7 +250,9 @@
             if role is InstanceRole.BACKEND_SERVER and has_drained:
                 self.release(unit)
             return
-        is_stable = now_ms - self._members_since_ms >= MEMBERS_STABLE_MS
+        is_stable = (
+            now_ms - self._live_instances_since_ms >= LIVE_INSTANCES_STABLE_MS
+        )
         is_interval_over = (
             now_ms - self._last_handover_ms >= HANDOVER_INTERVAL_MS
         )
--- a/src/magnoliapitch/ownership/fence.py
+++ b/src/magnoliapitch/ownership/fence.py
@@ -1,10 +1,11 @@
 """Fencing of successive owners of one worker by the worker's own clock.
 
 Every owner starts a claim lease on each worker. It reserves no resources and
-carries the owner's epoch. Leases are granted only up to a bounded time after
-a view of the worker that listed no higher epoch. So when the claim lease of a
-new owner has been listed for that time, every lease of an earlier owner is
-listed as well or has expired.
+carries the owner's epoch. A worker replies with a view, which lists its
+leases. An owner grants leases only on the basis of a view without a higher
+epoch, and they expire within a bounded time after that view. So when the claim
+lease of a new owner has been listed for that time, every lease of an earlier
+owner is listed as well or has expired.
 
 An owner whose claim lease is not listed starts it only on the basis of a view
 taken soon after a complete read of the log showed that it still owns the
--- a/src/magnoliapitch/ownership/job_mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -60,8 +60,11 @@
         with self._journal.reading() as state:
             self._update_presence(state, now_ms)
             moves = self._plan_moves(state, racks, now_ms) if racks else []
-        read_ms = self._journal.last_caught_up_ms
-        if read_ms is not None and now_ms - read_ms <= LOG_MAX_AGE_MS:
+        caught_up_ms = self._journal.last_caught_up_ms
+        if (
+            caught_up_ms is not None
+            and now_ms - caught_up_ms <= LOG_MAX_AGE_MS
+        ):
             for move in moves:
                 pending = self._journal.enqueue(move)
                 self._pending_by_job[move.job_id] = pending
@@ -116,11 +119,11 @@
 
         :return: milliseconds; 0 if no owner is a known member.
         """
-        holders = (claim.incarnation, *claim.predecessors)
+        owners = (claim.incarnation, *claim.predecessors)
         return min(
             (
                 now_ms - self._presence_by_incarnation[incarnation][1]
-                for incarnation in holders
+                for incarnation in owners
                 if incarnation in self._presence_by_incarnation
             ),
             default=0,
--- a/src/magnoliapitch/ownership/share.py
+++ b/src/magnoliapitch/ownership/share.py
@@ -38,7 +38,7 @@
     claim: Claim,
     now_ms: int,
     owned_since_ms: int,
-    read_ms: int | None,
+    caught_up_ms: int | None,
     running_predecessors: int,
     stopped_at_ms: int | None,
     *,
@@ -50,7 +50,7 @@
 
     :param claim: the owner's claim.
     :param owned_since_ms: when the owner first saw the claim in the log.
-    :param read_ms: start of the newest complete read of the log, if any.
+    :param caught_up_ms: start of the newest complete read of the log, if any.
     :param running_predecessors: number of earlier owners that may not know
         of the claim yet.
     :param stopped_at_ms: when all earlier owners were known to have stopped,
@@ -61,7 +61,9 @@
     share = _share_beside_predecessors(
         claim, now_ms, owned_since_ms, running_predecessors, stopped_at_ms
     )
-    is_confirmed = read_ms is not None and now_ms - read_ms <= CLAIM_MAX_AGE_MS
+    is_confirmed = (
+        caught_up_ms is not None and now_ms - caught_up_ms <= CLAIM_MAX_AGE_MS
+    )
     if is_confirmed and not is_releasing:
         return share
     return min(share, HALF_OF_SLOTS)
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -106,7 +106,7 @@
         if refusal is not None:
             return Err(refusal)
         digest = _digest_of(routed.request)
-        refusal = self._ticket_executions.open(
+        refusal = self._ticket_executions.register(
             ticket.nonce, digest, ticket.expires_ms
         )
         if refusal is not None:
@@ -183,13 +183,13 @@
             applied.
         """
         now_ms = self._clock.now_ms()
-        read_ms = self._journal.last_caught_up_ms
-        if read_ms is None or now_ms - read_ms > LOG_MAX_AGE_MS:
+        caught_up_ms = self._journal.last_caught_up_ms
+        if caught_up_ms is None or now_ms - caught_up_ms > LOG_MAX_AGE_MS:
             return _log_unavailable(
                 f"no complete read of the log in the last {LOG_MAX_AGE_MS} ms"
             )
         digest = _digest_of(routed.request)
-        refusal = self._key_executions.open(
+        refusal = self._key_executions.register(
             key, digest, now_ms + KEY_RETENTION_MS
         )
         if refusal is not None:
--- a/src/magnoliapitch/request/dispatch_fence.py
+++ b/src/magnoliapitch/request/dispatch_fence.py
@@ -1,7 +1,7 @@
 """Decides whether an owner may send requests to a group of backend servers.
 
-Backend servers don't know who owns them, so their slots are not overbooked
-only if the former owner has stopped before the next one starts. An owner
+Backend servers don't know who owns them. So a former owner has to stop before
+the next one starts, or both together overbook the slots. An owner
 that can neither read the log nor hear a peer of its zone stops after
 ``FENCING_TIMEOUT_MS``. A new owner waits that long, and then for as long as
 the former owner's requests may last.
@@ -80,11 +80,11 @@
     def _owned_claims(self) -> dict[str, Claim]:
         with self._journal.reading() as state:
             offset = state.next_offset
-        known = self._owned_cache
-        if known is None or known.offset != offset:
-            known = _OwnedClaims(offset, self._claimer.owned_claims())
-            self._owned_cache = known
-        return known.claims_by_unit
+        cached = self._owned_cache
+        if cached is None or cached.offset != offset:
+            cached = _OwnedClaims(offset, self._claimer.owned_claims())
+            self._owned_cache = cached
+        return cached.claims_by_unit
 
     def _update_known(self, owned: dict[str, Claim], now_ms: int) -> None:
         for unit in set(self._known_by_unit) - set(owned):
@@ -112,8 +112,11 @@
         return FENCING_TIMEOUT_MS + longest_request_ms
 
     def _may_trust_claims(self, now_ms: int) -> bool:
-        read_ms = self._journal.last_caught_up_ms
-        if read_ms is not None and now_ms - read_ms <= FENCING_TIMEOUT_MS:
+        caught_up_ms = self._journal.last_caught_up_ms
+        if (
+            caught_up_ms is not None
+            and now_ms - caught_up_ms <= FENCING_TIMEOUT_MS
+        ):
             return True
         identity = self._membership.identity
         neighbours = [
--- a/src/magnoliapitch/request/execution_registry.py
+++ b/src/magnoliapitch/request/execution_registry.py
@@ -71,7 +71,9 @@
     def __len__(self) -> int:
         return len(self._executions_by_name)
 
-    def open(self, name: str, digest: str, expires_ms: int) -> Failure | None:
+    def register(
+        self, name: str, digest: str, expires_ms: int
+    ) -> Failure | None:
         """Register a name to be run once; a known name stays as it is.
 
         :param digest: digest of the request body.
--- a/src/magnoliapitch/request/request_queue.py
+++ b/src/magnoliapitch/request/request_queue.py
@@ -57,7 +57,9 @@
         self.is_abandoned = False
 
     def wait_for_grant(self, clock: Clock) -> bool:
-        """Wait for ``GRANT_POLL_INTERVAL_MS`` or until the deadline.
+        """Wait for the grant, at most ``GRANT_POLL_INTERVAL_MS``.
+
+        The wait ends at the deadline of the request at the latest.
 
         :return: whether the request may proceed.
         """
--- a/src/magnoliapitch/request/slot_pool.py
+++ b/src/magnoliapitch/request/slot_pool.py
@@ -91,7 +91,7 @@
         return Ok(queued)
 
     def wait_for_slot(self, queued: QueuedRequest) -> bool:
-        """Wait for a queued request's slot for ``GRANT_POLL_INTERVAL_MS``.
+        """Wait for a slot, at most ``GRANT_POLL_INTERVAL_MS``.
 
         :return: whether a slot was granted or may still be granted in time.
         """
--- a/tests/request/test_execution_registry.py
+++ b/tests/request/test_execution_registry.py
@@ -27,7 +27,7 @@
 def _run(
     registry: ExecutionRegistry, name: str, outcome: Outcome = ANSWER
 ) -> Outcome:
-    registry.open(name, "d", 1_000)
+    registry.register(name, "d", 1_000)
     return registry.run(name, "d", 0, lambda: outcome)
 
 
@@ -64,19 +64,19 @@
     clock = ManualClock()
     registry = ExecutionRegistry(clock, max_executions=1)
     _run(registry, "a")
-    failure = registry.open("b", "d", 2_000)
+    failure = registry.register("b", "d", 2_000)
     assert failure is not None
     assert failure.verdict is Verdict.NOT_RUN
     clock.advance(1_000)
-    assert registry.open("b", "d", 2_000) is None
-    late = registry.open("a", "d", 1_000)
+    assert registry.register("b", "d", 2_000) is None
+    late = registry.register("a", "d", 1_000)
     assert late is not None
     assert late.verdict is Verdict.MAY_HAVE_RUN
 
 
 def test_registry_shares_an_outcome_and_times_out_as_may_have_run() -> None:
     registry = ExecutionRegistry(MonotonicClock())
-    registry.open("n", "d", 2**62)
+    registry.register("n", "d", 2**62)
     entered, may_finish = threading.Event(), threading.Event()
     runs: list[int] = []
 
