--- a/src/magnoliapitch/job/channel.py
+++ b/src/magnoliapitch/job/channel.py
@@ -100,13 +100,16 @@
             return None
         if self.failures or self.fence.view is None:
             return PlannedCall(CallKind.VIEW)
-        if self.fence.may_place_claim(confirmed_ms):
-            self.fence, grant = self.fence.place_claim()
+        if self.fence.may_start_claim_lease(confirmed_ms):
+            self.fence, grant = self.fence.start_claim_lease()
             return PlannedCall(CallKind.CLAIM, grants=(grant,))
         planned = self._plan_changes()
         if planned is not None:
             return planned
-        if self.fence.claim is not None and now_ms >= self._next_renewal_ms:
+        if (
+            self.fence.claim_lease is not None
+            and now_ms >= self._next_renewal_ms
+        ):
             return self._plan_renewal(now_ms)
         if now_ms >= self._next_poll_ms:
             return PlannedCall(CallKind.VIEW)
@@ -166,13 +169,13 @@
         )
 
     def _plan_renewal(self, now_ms: int) -> PlannedCall | None:
-        claim = self.fence.claim
-        if claim is None or self.fence.phase is FencePhase.YIELDED:
+        claim_lease = self.fence.claim_lease
+        if claim_lease is None or self.fence.phase is FencePhase.YIELDED:
             return None
         interval_ms = self.fence.ttl_ms // RENEWALS_PER_TTL
         self._next_renewal_ms = now_ms + interval_ms - self._jitter_ms()
         expires_at_ms = self.fence.renewal_expiry_ms()
-        lease_ids = [claim.lease_id]
+        lease_ids = [claim_lease.lease_id]
         for lease_id, attempt in self.attempts_by_lease.items():
             if not self._holds(attempt.task.entry, now_ms):
                 continue
--- a/src/magnoliapitch/ownership/fence.py
+++ b/src/magnoliapitch/ownership/fence.py
@@ -75,10 +75,10 @@
     :param fences_epochs: whether the worker itself refuses lower epochs.
     :param view: newest view of the worker.
     :param received_ms: local monotonic time at which that view arrived.
-    :param claim: the owner's claim lease in that view, if it is listed.
+    :param claim_lease: the owner's claim lease in that view, if it is listed.
     :param settled_at_ms: time of the worker's clock from which every lease
         granted by earlier owners is listed.
-    :param placed_claim_count: number of claim leases created so far.
+    :param claim_lease_count: number of claim leases created so far.
     """
 
     owner: OwnerClaim
@@ -86,9 +86,9 @@
     fences_epochs: bool = False
     view: WorkerView | None = None
     received_ms: int = 0
-    claim: LeaseView | None = None
+    claim_lease: LeaseView | None = None
     settled_at_ms: int = NEVER_MS
-    placed_claim_count: int = 0
+    claim_lease_count: int = 0
 
     @property
     def phase(self) -> FencePhase:
@@ -97,7 +97,7 @@
             return FencePhase.UNKNOWN
         if _has_higher_epoch(self.view, self.owner.epoch):
             return FencePhase.YIELDED
-        if self.claim is None:
+        if self.claim_lease is None:
             return FencePhase.UNCLAIMED
         if self.view.now_ms < self.settled_at_ms:
             return FencePhase.SETTLING
@@ -120,10 +120,12 @@
             return self
         updated = self._replace(view=view, received_ms=received_ms)
         if _has_higher_epoch(view, self.owner.epoch):
-            return updated._replace(claim=None, settled_at_ms=NEVER_MS)
-        return updated._with_claim(None if restarted else self.claim)
+            return updated._replace(claim_lease=None, settled_at_ms=NEVER_MS)
+        return updated._with_claim_lease(
+            None if restarted else self.claim_lease
+        )
 
-    def may_place_claim(self, confirmed_ms: int | None) -> bool:
+    def may_start_claim_lease(self, confirmed_ms: int | None) -> bool:
         """Return whether the claim lease may be started now.
 
         :param confirmed_ms: local monotonic time at which the newest complete
@@ -134,17 +136,15 @@
             return False
         return self.received_ms - confirmed_ms < CONFIRMATION_MAX_AGE_MS
 
-    def place_claim(self) -> tuple[WorkerFence, LeaseGrant]:
+    def start_claim_lease(self) -> tuple[WorkerFence, LeaseGrant]:
         """Return the next state and a new claim lease with an unused id.
 
-        Call only if :meth:`may_place_claim` returned true.
+        Call only if :meth:`may_start_claim_lease` returned true.
 
         :raises ValueError: if no view of the worker is known.
         """
-        successor = self._replace(
-            placed_claim_count=self.placed_claim_count + 1
-        )
-        lease_id = f"{self._claim_prefix()}{successor.placed_claim_count}"
+        successor = self._replace(claim_lease_count=self.claim_lease_count + 1)
+        lease_id = f"{self._claim_prefix()}{successor.claim_lease_count}"
         grant = LeaseGrant(
             lease_id,
             self.owner.epoch,
@@ -171,11 +171,11 @@
         :return: time of the worker's clock, in milliseconds.
         :raises ValueError: if the fence is not open.
         """
-        if not self.is_open or self.claim is None:
+        if not self.is_open or self.claim_lease is None:
             raise ValueError(
                 f"no lease can be granted: the fence is {self.phase}, not open"
             )
-        return min(self.renewal_expiry_ms(), self.claim.expires_at_ms)
+        return min(self.renewal_expiry_ms(), self.claim_lease.expires_at_ms)
 
     def has_worker_clock_passed(self, worker_ms: int, local_ms: int) -> bool:
         """Return whether the worker's clock has certainly passed a time.
@@ -193,16 +193,18 @@
         min_elapsed_ms = elapsed_ms - elapsed_ms // CLOCK_DRIFT_DIVISOR - 1
         return self.view.now_ms + max(min_elapsed_ms, 0) >= worker_ms
 
-    def _with_claim(self, previous: LeaseView | None) -> WorkerFence:
-        own = self._own_claims()
+    def _with_claim_lease(self, previous: LeaseView | None) -> WorkerFence:
+        own = self._own_claim_leases()
         if previous is not None and previous.lease_id in own:
-            return self._replace(claim=own[previous.lease_id])
+            return self._replace(claim_lease=own[previous.lease_id])
         if not own:
-            return self._replace(claim=None, settled_at_ms=NEVER_MS)
+            return self._replace(claim_lease=None, settled_at_ms=NEVER_MS)
         newest = max(own.values(), key=lambda lease: lease.expires_at_ms)
         view = self._known_view()
         wait_ms = 0 if self._may_skip_wait(view) else LEASE_TTL_MAX_MS
-        return self._replace(claim=newest, settled_at_ms=view.now_ms + wait_ms)
+        return self._replace(
+            claim_lease=newest, settled_at_ms=view.now_ms + wait_ms
+        )
 
     def _may_skip_wait(self, view: WorkerView) -> bool:
         if self.fences_epochs or self.owner.epoch == FIRST_EPOCH:
@@ -213,7 +215,7 @@
             for lease in view.leases
         )
 
-    def _own_claims(self) -> dict[str, LeaseView]:
+    def _own_claim_leases(self) -> dict[str, LeaseView]:
         prefix = self._claim_prefix()
         return {
             lease.lease_id: lease
