--- a/src/magnoliapitch/bench/capacity/relayed_standins.py
+++ b/src/magnoliapitch/bench/capacity/relayed_standins.py
@@ -12,7 +12,7 @@
 from magnoliapitch.standin.backend import StandinBackends
 from magnoliapitch.standin.instance import StandinInstanceList
 from magnoliapitch.standin.log import StandinLog
-from magnoliapitch.standin.server import CellServer
+from magnoliapitch.standin.server import StandinServer
 from magnoliapitch.standin.worker import StandinWorkers
 from magnoliapitch.worker.http_pool import HttpWorkerPool
 from magnoliapitch.worker.lease import LeaseGrant
@@ -82,7 +82,9 @@
 ) -> Iterator[CountingRelay]:
     """Serve stand-ins through a relay while the context lasts."""
     backends = StandinBackends()
-    server = CellServer(log, instance_list, workers, backends, SERVER_THREADS)
+    server = StandinServer(
+        log, instance_list, workers, backends, SERVER_THREADS
+    )
     server.start()
     relay = CountingRelay(int(server.url.rpartition(":")[2]))
     relay.start()
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -1,4 +1,4 @@
-"""Attempts of the owned racks, and what replies and the fold say of them."""
+"""Tracking of the attempts of owned racks until their end is recorded."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from magnoliapitch.job.attempt import Attempt
 from magnoliapitch.job.attempt import AttemptState
 from magnoliapitch.job.attempt import TaskKey
-from magnoliapitch.job.spec import AttemptName
+from magnoliapitch.job.spec import AttemptKey
 from magnoliapitch.job.spec import TaskOutcome
 from magnoliapitch.job.spec import parse_lease_id
 from magnoliapitch.journal.record import TaskEnd
@@ -35,14 +35,17 @@
     from magnoliapitch.ownership.presence_lease import PresenceLease
 
 
-UNHELD_RETRY_MS = 1_000
+NO_PRESENCE_RETRY_DELAY_MS = 1_000
 
 
 class AttemptTracker:
-    """Knows every attempt that may run or whose end is not recorded.
+    """Tracks every attempt that may run or whose end is not recorded.
 
-    The next attempt of a task is only handed over once every earlier one
-    has surely ended and the fold has counted its end.
+    It compares them with the workers' views and with the job records of the
+    journal. The next attempt of a task is only queued when every earlier one
+    has certainly ended and the journal has applied the record of its end.
+
+    ``key in tracker`` tells whether a task has such an attempt.
     """
 
     def __init__(
@@ -50,36 +53,38 @@
         journal: Journal,
         scheduler: Scheduler,
         backlog: Backlog,
-        hold: PresenceLease,
+        presence_lease: PresenceLease,
         clock: Clock,
     ) -> None:
         self._journal = journal
-        self._hold = hold
+        self._presence_lease = presence_lease
         self._clock = clock
         self._scheduler = scheduler
         self._backlog = backlog
         self._attempts_by_task: dict[TaskKey, dict[int, Attempt]] = {}
-        self._ends_by_task: dict[TaskKey, PendingEntry] = {}
+        self._pending_ends_by_task: dict[TaskKey, PendingEntry] = {}
 
     def __contains__(self, key: object) -> bool:
         return key in self._attempts_by_task
 
     def lease_ids(self) -> tuple[str, ...]:
-        """Return the lease ids of all attempts."""
+        """Return the lease ids of all tracked attempts."""
         return tuple(
             attempt.task.attempt_id
-            for attempts_by_number in self._attempts_by_task.values()
-            for attempt in attempts_by_number.values()
+            for attempt_by_number in self._attempts_by_task.values()
+            for attempt in attempt_by_number.values()
         )
 
     def add(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        """Track an attempt on a worker."""
-        attempts_by_number = self._attempts_by_task.setdefault(attempt.key, {})
-        attempts_by_number[attempt.name.attempt] = attempt
+        """Start to track an attempt on a worker."""
+        attempt_by_number = self._attempts_by_task.setdefault(
+            attempt.task_key, {}
+        )
+        attempt_by_number[attempt.key.attempt] = attempt
         channel.attempts_by_lease[attempt.task.attempt_id] = attempt
 
-    def is_unsure(self, channel: WorkerChannel) -> bool:
-        """Return whether a grant may still arrive at a worker."""
+    def has_unconfirmed_grant(self, channel: WorkerChannel) -> bool:
+        """Return whether a grant is unsent or not confirmed by the worker."""
         return any(
             attempt.state in (AttemptState.PLACED, AttemptState.SENT)
             for attempt in channel.attempts_by_lease.values()
@@ -88,85 +93,106 @@
     def observe(
         self, channel: WorkerChannel, view: WorkerView, now_ms: int
     ) -> None:
-        """Compare a worker's view with the attempts on it."""
-        listed = {
+        """Update the attempts on a worker from its view.
+
+        Leases of tasks that are not tracked, for example those granted by an
+        earlier owner, are adopted unless a later owner has claimed the rack.
+        """
+        leases_by_id = {
             lease.lease_id: lease
             for lease in view.leases
             if lease.kind is LeaseKind.TASK
         }
         for lease_id, attempt in list(channel.attempts_by_lease.items()):
-            lease = listed.get(lease_id)
+            lease = leases_by_id.get(lease_id)
             if lease is not None:
                 self._observe_listed(channel, attempt, lease, now_ms)
             else:
                 self._observe_absent(channel, attempt, view, now_ms)
         if channel.fence.phase is FencePhase.YIELDED:
             return
-        for lease_id, lease in listed.items():
+        for lease_id, lease in leases_by_id.items():
             if lease_id not in channel.attempts_by_lease:
-                self._adopt(channel, lease, now_ms)
+                self._adopt_lease(channel, lease, now_ms)
 
-    def start_failed(
+    def record_failed_start(
         self,
         channel: WorkerChannel,
         call: PlannedCall,
-        certain: bool,
+        is_not_run: bool,
         now_ms: int,
     ) -> None:
-        """Take back a start that surely did not reach the worker.
+        """Queue attempts again whose start call failed without effect.
+
+        Otherwise they count as running until a view of the worker tells
+        more or their leases have expired.
 
-        Otherwise its attempts count as running until a view shows more.
+        :param is_not_run: whether the call certainly did not take effect.
         """
-        if not certain:
+        if not is_not_run:
             return
         for lease_id in call.lease_ids:
             attempt = channel.attempts_by_lease.get(lease_id)
             if attempt is not None and attempt.state is AttemptState.SENT:
-                self.take_back(channel, attempt, now_ms)
+                self.requeue(channel, attempt, now_ms)
 
-    def take_back_all(self, channel: WorkerChannel, now_ms: int) -> None:
-        """Take back every placement that has not been sent."""
-        lease_ids, channel.starts = tuple(channel.starts), {}
+    def requeue_unsent(self, channel: WorkerChannel, now_ms: int) -> None:
+        """Queue every placed attempt again whose grant was not sent."""
+        lease_ids, channel.pending_starts = tuple(channel.pending_starts), {}
         for lease_id in lease_ids:
             attempt = channel.attempts_by_lease.get(lease_id)
             if attempt is not None:
-                self.take_back(channel, attempt, now_ms)
+                self.requeue(channel, attempt, now_ms)
 
-    def take_back_unheld(self, channel: WorkerChannel, now_ms: int) -> None:
-        """Take back placements that the owner may not grant any more."""
-        for lease_id in tuple(channel.starts):
+    def requeue_without_presence(
+        self, channel: WorkerChannel, now_ms: int
+    ) -> None:
+        """Queue placed attempts again that this owner may not grant now.
+
+        Its presence lease does not cover their catalogue entry.
+        """
+        for lease_id in tuple(channel.pending_starts):
             attempt = channel.attempts_by_lease.get(lease_id)
-            if attempt is not None and not self._holds(attempt):
-                self.take_back(channel, attempt, now_ms + UNHELD_RETRY_MS)
+            if attempt is not None and not self._may_keep(attempt):
+                self.requeue(
+                    channel, attempt, now_ms + NO_PRESENCE_RETRY_DELAY_MS
+                )
 
-    def take_back(
+    def requeue(
         self, channel: WorkerChannel, attempt: Attempt, now_ms: int
     ) -> None:
-        """Queue an attempt again that surely never started.
+        """Queue the task of an attempt again that certainly never started.
 
-        :param now_ms: time from which it may be placed.
+        :param now_ms: local monotonic time from which the task may be placed
+            again, in milliseconds.
         """
-        self._forget(channel, attempt)
+        self._remove(channel, attempt)
         lease_id = attempt.task.attempt_id
         self._scheduler.record_task_end(lease_id, TaskOutcome.LOST, now_ms)
-        self._backlog.add_task(attempt.key, now_ms)
+        self._backlog.add_task(attempt.task_key, now_ms)
 
-    def forget_channel(self, channel: WorkerChannel, now_ms: int) -> None:
-        """Forget the attempts of a worker that is not owned any more."""
+    def remove_channel(self, channel: WorkerChannel, now_ms: int) -> None:
+        """Stop tracking the attempts of a worker that is no longer owned."""
         for attempt in list(channel.attempts_by_lease.values()):
-            self._forget(channel, attempt)
+            self._remove(channel, attempt)
             if attempt.state is not AttemptState.ENDED:
                 lease_id = attempt.task.attempt_id
                 self._scheduler.record_task_end(
                     lease_id, TaskOutcome.LOST, now_ms
                 )
 
-    def end_unreachable(
+    def end_expired_unreachable(
         self, channels_by_worker: Mapping[str, WorkerChannel], now_ms: int
     ) -> None:
-        """End attempts whose leases have surely expired out of reach."""
+        """End the attempts on unreachable workers that cannot run any more.
+
+        Their leases have certainly expired on the workers' clocks.
+        """
         for channel in channels_by_worker.values():
-            if not channel.failures or not channel.attempts_by_lease:
+            if (
+                not channel.consecutive_failures
+                or not channel.attempts_by_lease
+            ):
                 continue
             for attempt in list(channel.attempts_by_lease.values()):
                 if attempt.state is AttemptState.ENDED:
@@ -177,49 +203,55 @@
                 ):
                     self._end(channel, attempt, TaskOutcome.LOST, now_ms)
 
-    def follow_end(
+    def apply_recorded_end(
         self,
         channels_by_worker: Mapping[str, WorkerChannel],
         key: TaskKey,
         job: JobRecord,
         now_ms: int,
         *,
-        held: bool,
+        is_waiting: bool,
     ) -> None:
-        """Act on the recorded end of an attempt.
+        """Process the recorded end of an attempt of a task.
 
-        :param held: whether the task waits for its rack to settle.
+        The lease of the attempt is ended on its worker. The task is queued
+        again if no attempt is left.
+
+        :param job: record of the job, with the end applied.
+        :param is_waiting: whether the job waits until its rack is settled.
         """
-        self._ends_by_task.pop(key, None)
-        counted = job.attempts_by_task.get(key.task, 0)
-        attempts_by_number = self._attempts_by_task.get(key, {})
-        for number, attempt in list(attempts_by_number.items()):
+        self._pending_ends_by_task.pop(key, None)
+        recorded_attempts = job.attempts_by_task.get(key.task, 0)
+        attempt_by_number = self._attempts_by_task.get(key, {})
+        for number, attempt in list(attempt_by_number.items()):
             channel = channels_by_worker.get(attempt.worker_id)
-            if channel is None or number >= counted:
+            if channel is None or number >= recorded_attempts:
                 continue
-            channel.stops[attempt.task.attempt_id] = None
+            channel.pending_stops[attempt.task.attempt_id] = None
             if attempt.state is AttemptState.ENDED:
-                self._forget(channel, attempt)
-        if key not in self._attempts_by_task and not held:
+                self._remove(channel, attempt)
+        if key not in self._attempts_by_task and not is_waiting:
             self._backlog.retry(key, job, now_ms)
 
-    def stop(
+    def request_stops(
         self,
         channels_by_worker: Mapping[str, WorkerChannel],
         lease_ids: Iterable[str],
     ) -> None:
-        """Stop attempts, wherever they run."""
+        """Request the end of leases on the workers that they run on."""
         for lease_id in lease_ids:
-            name = parse_lease_id(lease_id)
-            if name is None:
+            attempt_key = parse_lease_id(lease_id)
+            if attempt_key is None:
                 continue
-            key = TaskKey(name.job_id, name.task)
-            attempt = self._attempts_by_task.get(key, {}).get(name.attempt)
+            key = TaskKey(attempt_key.job_id, attempt_key.task)
+            attempt = self._attempts_by_task.get(key, {}).get(
+                attempt_key.attempt
+            )
             if attempt is None:
                 continue
             channel = channels_by_worker.get(attempt.worker_id)
             if channel is not None:
-                channel.stops[lease_id] = None
+                channel.pending_stops[lease_id] = None
 
     def _observe_listed(
         self,
@@ -229,7 +261,7 @@
         now_ms: int,
     ) -> None:
         if attempt.state is AttemptState.ENDED:
-            self._repeat_end(channel, attempt)
+            self._record_end(channel, attempt)
             return
         view = channel.fence.view
         boot_id = view.boot_id if view else ""
@@ -251,7 +283,7 @@
         if attempt.state is AttemptState.PLACED:
             return
         if attempt.state is AttemptState.ENDED:
-            self._repeat_end(channel, attempt)
+            self._record_end(channel, attempt)
             return
         may_arrive = (
             attempt.state is AttemptState.SENT
@@ -272,53 +304,65 @@
         self._scheduler.record_task_end(
             attempt.task.attempt_id, outcome, now_ms
         )
-        self._repeat_end(channel, attempt)
+        self._record_end(channel, attempt)
 
-    def _repeat_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        """Record an end until the fold has counted it."""
-        key = attempt.key
+    def _record_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
+        """Enqueue the record of an end, unless it is applied or pending.
+
+        It is called again with every view, and enqueues the record again if
+        the previous one ended without being applied. The end of a lost
+        attempt is not recorded while the presence lease does not cover the
+        task.
+        """
+        key = attempt.task_key
         with self._journal.reading() as state:
             job = state.jobs_by_id.get(key.job_id)
-            counted = job.attempts_by_task.get(key.task, 0) if job else 0
+            recorded_attempts = (
+                job.attempts_by_task.get(key.task, 0) if job else 0
+            )
             is_over = (
                 job is None or job.is_done or job.unit != channel.worker.unit
             )
-        if is_over or counted > attempt.name.attempt:
-            channel.stops[attempt.task.attempt_id] = None
-            self._forget(channel, attempt)
+        if is_over or recorded_attempts > attempt.key.attempt:
+            channel.pending_stops[attempt.task.attempt_id] = None
+            self._remove(channel, attempt)
             self._backlog.add_task(key, 0)
             return
         if channel.fence.phase is FencePhase.YIELDED:
             return
         is_lost = attempt.outcome is TaskOutcome.LOST
-        if is_lost and not self._holds(attempt):
+        if is_lost and not self._may_keep(attempt):
             return
-        pending = self._ends_by_task.get(key)
+        pending = self._pending_ends_by_task.get(key)
         if pending is not None and pending.outcome is None:
             return
         if attempt.outcome is not None:
-            self._ends_by_task[key] = self._journal.enqueue(
-                TaskEnd(*attempt.name, attempt.outcome)
+            self._pending_ends_by_task[key] = self._journal.enqueue(
+                TaskEnd(*attempt.key, attempt.outcome)
             )
 
-    def _holds(self, attempt: Attempt) -> bool:
-        return self._hold.may_keep_tasks(
+    def _may_keep(self, attempt: Attempt) -> bool:
+        return self._presence_lease.may_keep_tasks(
             attempt.task.entry, self._clock.now_ms()
         )
 
-    def _adopt(
+    def _adopt_lease(
         self, channel: WorkerChannel, lease: LeaseView, now_ms: int
     ) -> None:
-        name = parse_lease_id(lease.lease_id)
+        attempt_key = parse_lease_id(lease.lease_id)
         with self._journal.reading() as state:
-            job = state.jobs_by_id.get(name.job_id) if name else None
-            versioned = state.catalogue_by_name.get(lease.entry)
-        if name is None:
+            job = (
+                state.jobs_by_id.get(attempt_key.job_id)
+                if attempt_key
+                else None
+            )
+            versioned_entry = state.catalogue_by_name.get(lease.entry)
+        if attempt_key is None:
             return
-        entry = versioned.entry if versioned else None
+        entry = versioned_entry.entry if versioned_entry else None
         task = TaskRequest(
             lease.lease_id,
-            name.job_id,
+            attempt_key.job_id,
             lease.entry,
             entry.owner if entry else "",
             entry.work_class if entry else WorkClass.BATCH,
@@ -327,33 +371,33 @@
             now_ms,
         )
         worker_id = channel.worker.instance_id
-        attempt = Attempt(name, task, worker_id, lease.resources)
+        attempt = Attempt(attempt_key, task, worker_id, lease.resources)
         self.add(channel, attempt)
         self._scheduler.adopt(task, worker_id, lease.resources)
-        if _is_obsolete(job, name, channel):
-            channel.stops[lease.lease_id] = None
+        if _is_obsolete(job, attempt_key, channel):
+            channel.pending_stops[lease.lease_id] = None
         self._observe_listed(channel, attempt, lease, now_ms)
 
-    def _forget(self, channel: WorkerChannel, attempt: Attempt) -> None:
+    def _remove(self, channel: WorkerChannel, attempt: Attempt) -> None:
         channel.attempts_by_lease.pop(attempt.task.attempt_id, None)
-        channel.starts.pop(attempt.task.attempt_id, None)
-        attempts_by_number = self._attempts_by_task.get(attempt.key, {})
-        if attempts_by_number.get(attempt.name.attempt) is attempt:
-            del attempts_by_number[attempt.name.attempt]
-        if not attempts_by_number:
-            self._attempts_by_task.pop(attempt.key, None)
+        channel.pending_starts.pop(attempt.task.attempt_id, None)
+        attempt_by_number = self._attempts_by_task.get(attempt.task_key, {})
+        if attempt_by_number.get(attempt.key.attempt) is attempt:
+            del attempt_by_number[attempt.key.attempt]
+        if not attempt_by_number:
+            self._attempts_by_task.pop(attempt.task_key, None)
 
 
 def _is_obsolete(
-    job: JobRecord | None, name: AttemptName, channel: WorkerChannel
+    job: JobRecord | None, attempt_key: AttemptKey, channel: WorkerChannel
 ) -> bool:
     if job is None or job.is_done or job.unit != channel.worker.unit:
         return True
-    return name.attempt < job.attempts_by_task.get(name.task, 0)
+    return attempt_key.attempt < job.attempts_by_task.get(attempt_key.task, 0)
 
 
 def _outcome_of(task: TaskRequest, lease: LeaseView) -> TaskOutcome:
-    """Return how a lease ended; a service that ends has failed."""
+    """Return how a lease ended; for a service any end is a failure."""
     is_service = task.work_class is WorkClass.SERVICE
     if lease.state is LeaseState.FINISHED and not is_service:
         return TaskOutcome.FINISHED
