--- a/src/magnoliapitch/decision/admission.py
+++ b/src/magnoliapitch/decision/admission.py
@@ -91,8 +91,8 @@
         need, most = getattr(wanted, field), getattr(quota, field)
         if need > most:
             return (
-                f"entry {task.entry} may use {field}={most} at once and this "
-                f"needs {need}; raise limits.{field} to {need}"
+                f"entry {task.entry} may use {field}={most} at once and the "
+                f"task or gang needs {need}; raise limits.{field} to {need}"
             )
     return ""
 
--- a/src/magnoliapitch/decision/dispatch.py
+++ b/src/magnoliapitch/decision/dispatch.py
@@ -269,8 +269,8 @@
             return
         self._finder.refresh_estimates(group)
         entry = group.template.entry
-        members = len(group.tasks_by_id) if group.is_gang else 1
-        wanted = group.size.times(members)
+        member_count = len(group.tasks_by_id) if group.is_gang else 1
+        wanted = group.size.times(member_count)
         if not self._allocations.quota_usage.is_within_quota(entry, wanted):
             group.wait_reason = f"free quota of entry {entry}"
             group.skipped_at = self._capacity_version(decision_round)
@@ -289,6 +289,7 @@
     def _capacity_version(
         self, decision_round: DecisionRound
     ) -> tuple[int, int]:
+        """Return the pass number and the counter of freed capacity."""
         return decision_round.pass_number, self._allocations.freed_count
 
     def _share(self, owner: str) -> float:
@@ -321,13 +322,13 @@
         self, decision_round: DecisionRound, group: TaskGroup
     ) -> bool:
         missing_count = group.template.gang_size - len(group.job.running)
-        members = len(group.tasks_by_id)
-        if members < missing_count:
+        member_count = len(group.tasks_by_id)
+        if member_count < missing_count:
             group.wait_reason = (
                 "the remaining tasks of the gang to be submitted"
             )
             return False
-        total = group.size.times(members)
+        total = group.size.times(member_count)
         if not decision_round.may_try_gang or not total.fits(
             self._allocations.free
         ):
@@ -335,7 +336,7 @@
             return False
         decision_round.gang_attempt_count += 1
         workers: list[WorkerState] = []
-        for _ in range(members):
+        for _ in range(member_count):
             worker = self._finder.find_worker(decision_round, group)
             if worker is None:
                 break
@@ -343,7 +344,7 @@
             workers.append(worker)
         for worker in workers:
             self._allocations.workers.release(worker, group.size)
-        if len(workers) < members:
+        if len(workers) < member_count:
             group.wait_reason = "free capacity for the whole gang"
             return False
         for worker in workers:
@@ -361,10 +362,10 @@
         )
         if not group.is_gang and not is_near_starvation:
             return
-        members = len(group.tasks_by_id) if group.is_gang else 1
+        member_count = len(group.tasks_by_id) if group.is_gang else 1
         if self._reservation_planner.reserve(
             group,
-            members,
+            member_count,
             decision_round.now_ms,
             ignore_cooldown=is_near_starvation,
         ):
@@ -374,7 +375,7 @@
         self,
         decision_round: DecisionRound,
         group: TaskGroup,
-        victims: VictimKind,
+        victim_kind: VictimKind,
     ) -> None:
         """Evict tasks to make room for one task of a group.
 
@@ -384,7 +385,7 @@
         if decision_round.now_ms < group.next_reclaim_ms:
             return
         evictions = self._reclaimer.plan_for_task(
-            group.size, group.template.unit, decision_round.now_ms, victims
+            group.size, group.template.unit, decision_round.now_ms, victim_kind
         )
         if evictions:
             interval_ms = RECLAIM_INTERVAL_MS // len(group.tasks_by_id)
--- a/src/magnoliapitch/decision/placement.py
+++ b/src/magnoliapitch/decision/placement.py
@@ -130,8 +130,8 @@
         if no other worker fits.
         """
         if need.unit:
-            members = self._workers_by_unit.get(need.unit, ())
-            return self._best(members, need, now_ms)
+            in_rack = self._workers_by_unit.get(need.unit, ())
+            return self._best(in_rack, need, now_ms)
         if not need.size.accelerators:
             found = self._search_index(self._plain_index, need, now_ms)
             if found is not None:
@@ -219,8 +219,8 @@
         rack, if ``unit`` is given, come in no particular order.
         """
         if unit:
-            members = self._workers_by_unit.get(unit, ())
-            return [item for item in members if item.accepts_tasks][:limit]
+            in_rack = self._workers_by_unit.get(unit, ())
+            return [item for item in in_rack if item.accepts_tasks][:limit]
         found = list(islice(self._plain_index.emptiest_first(), limit))
         rest = limit - len(found)
         found.extend(islice(self._accelerator_index.emptiest_first(), rest))
--- a/src/magnoliapitch/decision/reclaim.py
+++ b/src/magnoliapitch/decision/reclaim.py
@@ -64,13 +64,13 @@
         self._checkpoint_sent_ms_by_attempt: dict[str, int] = {}
 
     def plan_for_task(
-        self, size: Resources, unit: str, now_ms: int, victims: VictimKind
+        self, size: Resources, unit: str, now_ms: int, victim_kind: VictimKind
     ) -> list[Eviction]:
         """Return evictions that make room for a task on the cheapest worker.
 
         :param size: resources that the task needs.
         :param unit: the only rack that it may run in; empty for any.
-        :param victims: which tasks may be evicted.
+        :param victim_kind: which tasks may be evicted.
         :returns: the evictions; empty if none make enough room.
         """
         if not self._is_enabled:
@@ -80,7 +80,7 @@
         for worker in self._allocations.workers.emptiest_workers(
             MAX_EXAMINED_WORKERS, unit
         ):
-            plan = _plan_on_worker(worker, size, victims)
+            plan = _plan_on_worker(worker, size, victim_kind)
             if plan is None:
                 continue
             cost, evictions = plan
@@ -89,7 +89,7 @@
                 lowest_cost = cost
         if best:
             self._record_all(best, now_ms)
-            if victims is VictimKind.BULK:
+            if victim_kind is VictimKind.BULK:
                 worker_id = best[0].worker_id
                 worker = self._allocations.workers.by_id[worker_id]
                 self._allocations.earmark(worker, size, now_ms + EARMARK_MS)
@@ -203,7 +203,7 @@
 
 
 def _plan_on_worker(
-    worker: WorkerState, size: Resources, kind: VictimKind
+    worker: WorkerState, size: Resources, victim_kind: VictimKind
 ) -> tuple[int, list[Eviction]] | None:
     """Return the cost and the evictions that make room on a worker.
 
@@ -216,7 +216,7 @@
         (
             task
             for task in worker.tasks_by_id.values()
-            if _is_candidate(task, kind)
+            if _is_candidate(task, victim_kind)
         ),
         key=_eviction_cost,
     )
@@ -262,13 +262,13 @@
     return found if found and missing <= 0 else None
 
 
-def _is_candidate(task: RunningTask, kind: VictimKind) -> bool:
+def _is_candidate(task: RunningTask, victim_kind: VictimKind) -> bool:
     request = task.request
     if task.is_being_evicted or request.work_class not in BULK_CLASSES:
         return False
-    if kind is VictimKind.BORROWED:
+    if victim_kind is VictimKind.BORROWED:
         return task.borrowed
-    if kind is VictimKind.BULK:
+    if victim_kind is VictimKind.BULK:
         return True
     return request.work_class is WorkClass.BATCH and not request.deadline_ms
 
--- a/src/magnoliapitch/decision/start_reservation.py
+++ b/src/magnoliapitch/decision/start_reservation.py
@@ -69,14 +69,14 @@
     def reserve(
         self,
         group: TaskGroup,
-        members: int,
+        member_count: int,
         now_ms: int,
         *,
         ignore_cooldown: bool,
     ) -> bool:
         """Reserve a start for a group; return whether one was reserved.
 
-        :param members: number of tasks that must start together.
+        :param member_count: number of tasks that must start together.
         :param ignore_cooldown: whether to reserve also soon after a
             reservation for the group expired or was impossible.
         """
@@ -87,7 +87,7 @@
         workers = self._allocations.workers.emptiest_workers(
             MAX_EXAMINED_WORKERS, group.template.unit
         )
-        plan = _earliest_start(workers, group.size, members, now_ms)
+        plan = _earliest_start(workers, group.size, member_count, now_ms)
         if plan is None:
             group.next_reservation_ms = now_ms + RESERVATION_COOLDOWN_MS
             return False
@@ -141,7 +141,7 @@
 
 
 def _earliest_start(
-    workers: list[WorkerState], size: Resources, members: int, now_ms: int
+    workers: list[WorkerState], size: Resources, member_count: int, now_ms: int
 ) -> tuple[int, list[tuple[WorkerState, int]]] | None:
     """Return the earliest start of all members, and where they fit.
 
@@ -153,7 +153,7 @@
     total = sum(fitting)
     start_ms = now_ms
     for release in _expected_releases(workers, now_ms):
-        if total >= members:
+        if total >= member_count:
             break
         index = release.worker_index
         free[index] = free[index].plus(release.amount)
@@ -161,15 +161,15 @@
         fitting[index] += gained
         total += gained
         start_ms = release.release_ms
-    if total < members:
+    if total < member_count:
         return None
     chosen = []
     order = sorted(range(len(workers)), key=fitting.__getitem__, reverse=True)
     for index in order:
-        used = min(fitting[index], members)
+        used = min(fitting[index], member_count)
         if used:
             chosen.append((workers[index], used))
-            members -= used
+            member_count -= used
     return start_ms, chosen
 
 
--- a/src/magnoliapitch/decision/weighted.py
+++ b/src/magnoliapitch/decision/weighted.py
@@ -148,8 +148,8 @@
         new_tasks = (
             task for task in tasks if not self._is_known(task.attempt_id)
         )
-        for _, members in groupby(new_tasks, self._group_key):
-            self._submit_group(tuple(members))
+        for _, group_tasks in groupby(new_tasks, self._group_key):
+            self._submit_group(tuple(group_tasks))
 
     def cancel(self, job_id: str) -> tuple[str, ...]:
         """Remove the queued tasks of a job; return its running attempt ids."""
--- a/src/magnoliapitch/ownership/job_mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -39,7 +39,7 @@
         self._journal = journal
         self._claimer = claimer
         self._clock = clock
-        # Offset of the member's newest presence in the log, and local time at
+        # Offset of the member's newest presence record, and local time at
         # which this instance first saw it.
         self._presence_by_incarnation: dict[str, tuple[int, int]] = {}
         self._pending_by_job: dict[str, PendingEntry] = {}
--- a/src/magnoliapitch/ownership/presence_lease.py
+++ b/src/magnoliapitch/ownership/presence_lease.py
@@ -57,7 +57,7 @@
 
 
 class PresenceLease:
-    """Presence of this incarnation in the log, and what it allows."""
+    """Appends presence records, and tells which tasks may be kept."""
 
     def __init__(
         self, incarnation: str, journal: Journal, clock: Clock
