--- a/src/magnoliapitch/workload/__init__.py
+++ b/src/magnoliapitch/workload/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from magnoliapitch.workload.configuration import AdvicePolicy
 from magnoliapitch.workload.configuration import Configuration
+from magnoliapitch.workload.configuration import PermitTiming
 from magnoliapitch.workload.configuration import Queue
 from magnoliapitch.workload.configuration import RequestLimits
 from magnoliapitch.workload.configuration import Service
@@ -15,10 +15,10 @@
 from magnoliapitch.workload.progress import JobProgress
 from magnoliapitch.workload.progress import Placement
 from magnoliapitch.workload.progress import TaskProgress
+from magnoliapitch.workload.run import ActiveRun
 from magnoliapitch.workload.run import EndedRun
 from magnoliapitch.workload.run import EndKind
 from magnoliapitch.workload.run import Permit
-from magnoliapitch.workload.run import RunningTask
 from magnoliapitch.workload.run import StartOrder
 from magnoliapitch.workload.run import StopOrder
 from magnoliapitch.workload.run import WorkerReport
@@ -26,7 +26,7 @@
 
 
 __all__ = [
-    "AdvicePolicy",
+    "ActiveRun",
     "Configuration",
     "EndKind",
     "EndedRun",
@@ -34,10 +34,10 @@
     "JobProgress",
     "JobSpec",
     "Permit",
+    "PermitTiming",
     "Placement",
     "Queue",
     "RequestLimits",
-    "RunningTask",
     "Service",
     "StartOrder",
     "StepKey",
--- a/tests/process/test_job_node.py
+++ b/tests/process/test_job_node.py
@@ -15,7 +15,7 @@
 from magnoliapitch.settings.cluster import EndpointSettings
 from magnoliapitch.settings.cluster import ListenSettings
 from tests.platform.platform_standin import LOOPBACK
-from tests.platform.platform_standin import StandinAdvice
+from tests.platform.platform_standin import StandinAdvisor
 from tests.platform.platform_standin import StandinRunner
 from tests.platform.platform_standin import StandinStore
 
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.store = StandinStore()
-        self.advice = StandinAdvice()
+        self.advisor = StandinAdvisor()
         self.runners = [StandinRunner(f"i-{number}") for number in range(2)]
         self.http = urllib3.PoolManager(retries=False)
         for runner in self.runners:
@@ -92,14 +92,14 @@
     def close(self) -> None:
         for node in self.nodes:
             node.stop()
-        for server in (self.store, self.advice, *self.runners):
+        for server in (self.store, self.advisor, *self.runners):
             server.close()
 
     def _make_node(self, number: int) -> JobNode:
         settings = ClusterSettings(
             f"entry-{number}",
             "z",
-            EndpointSettings(self.store.address, self.advice.address),
+            EndpointSettings(self.store.address, self.advisor.address),
             ListenSettings(
                 self.addresses[number],
                 f"{LOOPBACK}:{_free_port()}",
@@ -171,7 +171,7 @@
 
 
 def test_lost_answers_of_the_store_lose_no_job(cluster: Cluster) -> None:
-    cluster.store.drop_answers = 3
+    cluster.store.answers_to_lose = 3
     statuses = [cluster.submit(f"00000000000000b{n}") for n in range(4)]
     assert set(statuses) <= {200, 504}
     for number in range(4):
