--- a/src/magnoliapitch/job/attempt.py
+++ b/src/magnoliapitch/job/attempt.py
@@ -42,7 +42,7 @@
 class Attempt:
     """An attempt that may run on a worker, or whose end is not recorded.
 
-    :ivar task: scheduler's request for the task, whose ``task_id`` is the
+    :ivar task: scheduler's request for the task, whose ``attempt_id`` is the
         lease id of the attempt.
     :ivar reserved: resources that are reserved on the worker.
     :ivar payload: opaque input of the task.
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -70,7 +70,7 @@
     def lease_ids(self) -> tuple[str, ...]:
         """Return the lease ids of all tracked attempts."""
         return tuple(
-            attempt.task.task_id
+            attempt.task.attempt_id
             for attempt_by_number in self._attempts_by_task.values()
             for attempt in attempt_by_number.values()
         )
@@ -81,7 +81,7 @@
             attempt.task_key, {}
         )
         attempt_by_number[attempt.key.attempt] = attempt
-        channel.attempts_by_lease[attempt.task.task_id] = attempt
+        channel.attempts_by_lease[attempt.task.attempt_id] = attempt
 
     def has_unconfirmed_grant(self, channel: WorkerChannel) -> bool:
         """Return whether a grant is unsent or not confirmed by the worker."""
@@ -167,7 +167,7 @@
             again, in milliseconds.
         """
         self._remove(channel, attempt)
-        lease_id = attempt.task.task_id
+        lease_id = attempt.task.attempt_id
         self._scheduler.record_task_end(lease_id, TaskOutcome.LOST, now_ms)
         self._backlog.add_task(attempt.task_key, now_ms)
 
@@ -176,7 +176,7 @@
         for attempt in list(channel.attempts_by_lease.values()):
             self._remove(channel, attempt)
             if attempt.state is not AttemptState.ENDED:
-                lease_id = attempt.task.task_id
+                lease_id = attempt.task.attempt_id
                 self._scheduler.record_task_end(
                     lease_id, TaskOutcome.LOST, now_ms
                 )
@@ -227,7 +227,7 @@
             channel = channels_by_worker.get(attempt.worker_id)
             if channel is None or number >= recorded_attempts:
                 continue
-            channel.pending_stops[attempt.task.task_id] = None
+            channel.pending_stops[attempt.task.attempt_id] = None
             if attempt.state is AttemptState.ENDED:
                 self._remove(channel, attempt)
         if key not in self._attempts_by_task and not is_waiting:
@@ -301,7 +301,9 @@
         now_ms: int,
     ) -> None:
         attempt.mark_ended(outcome)
-        self._scheduler.record_task_end(attempt.task.task_id, outcome, now_ms)
+        self._scheduler.record_task_end(
+            attempt.task.attempt_id, outcome, now_ms
+        )
         self._record_end(channel, attempt)
 
     def _record_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
@@ -322,7 +324,7 @@
                 job is None or job.is_done or job.unit != channel.worker.unit
             )
         if is_over or recorded_attempts > attempt.key.attempt:
-            channel.pending_stops[attempt.task.task_id] = None
+            channel.pending_stops[attempt.task.attempt_id] = None
             self._remove(channel, attempt)
             self._backlog.add_task(key, 0)
             return
@@ -377,8 +379,8 @@
         self._observe_listed(channel, attempt, lease, now_ms)
 
     def _remove(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        channel.attempts_by_lease.pop(attempt.task.task_id, None)
-        channel.pending_starts.pop(attempt.task.task_id, None)
+        channel.attempts_by_lease.pop(attempt.task.attempt_id, None)
+        channel.pending_starts.pop(attempt.task.attempt_id, None)
         attempt_by_number = self._attempts_by_task.get(attempt.task_key, {})
         if attempt_by_number.get(attempt.key.attempt) is attempt:
             del attempt_by_number[attempt.key.attempt]
