--- a/src/magnoliapitch/bench/capacity/message.py
+++ b/src/magnoliapitch/bench/capacity/message.py
@@ -50,7 +50,7 @@
 def unit_loads(size: int) -> float:
     """Return the size of a heartbeat with the loads of units."""
     loads = tuple(UnitLoad(f"zone-1-rack-{n}") for n in range(size))
-    fields = codec.beat_to_dict(sample_heartbeat()._replace(loads=loads))
+    fields = codec.heartbeat_to_dict(sample_heartbeat()._replace(loads=loads))
     return float(len(codec.schema.Beat.new_message(**fields).to_bytes()))
 
 
@@ -63,5 +63,7 @@
         )
         for n in range(size)
     )
-    fields = codec.beat_to_dict(sample_heartbeat()._replace(members=infos))
+    fields = codec.heartbeat_to_dict(
+        sample_heartbeat()._replace(members=infos)
+    )
     return float(len(codec.schema.Beat.new_message(**fields).to_bytes()))
--- a/src/magnoliapitch/bench/capacity/wire.py
+++ b/src/magnoliapitch/bench/capacity/wire.py
@@ -23,7 +23,7 @@
     from collections.abc import Callable
 
     from magnoliapitch.journal.record import RecordEntry
-    from magnoliapitch.peer.message import Beat
+    from magnoliapitch.peer.message import Heartbeat
 
 
 MEASURED_CALLS = 20
@@ -92,7 +92,7 @@
 
 
 class _EchoHandler:
-    def heartbeat(self, beat: Beat) -> Beat:
+    def heartbeat(self, beat: Heartbeat) -> Heartbeat:
         return beat
 
 
--- a/src/magnoliapitch/bench/journal/heartbeat.py
+++ b/src/magnoliapitch/bench/journal/heartbeat.py
@@ -21,7 +21,7 @@
     from collections.abc import Callable
     from collections.abc import Mapping
 
-    from magnoliapitch.peer.message import Beat
+    from magnoliapitch.peer.message import Heartbeat
 
 
 ROUND_MS = 1_000
@@ -48,9 +48,9 @@
 class BenchMember(Membership):
     """A membership that answers the heartbeats of its peers."""
 
-    def heartbeat(self, beat: Beat) -> Beat:
+    def heartbeat(self, beat: Heartbeat) -> Heartbeat:
         """Process a peer's heartbeat and return that of this member."""
-        return self.receive(beat)
+        return self.handle_heartbeat(beat)
 
 
 class CountingPeerLink:
@@ -67,9 +67,9 @@
 
     def heartbeat_all(
         self,
-        beats_by_address: Mapping[str, Beat],
+        beats_by_address: Mapping[str, Heartbeat],
         timeout_ms: int,  # noqa: ARG002
-        on_answer: Callable[[str, Beat], None],
+        on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
         """Exchange heartbeats with the peers, one after another.
 
@@ -127,9 +127,9 @@
         self.journals.append(journal)
 
 
-def beat_bytes(beat: Beat) -> int:
+def beat_bytes(beat: Heartbeat) -> int:
     """Return the encoded size of a heartbeat in bytes."""
-    message = codec.schema.Beat.new_message(**codec.beat_to_dict(beat))
+    message = codec.schema.Beat.new_message(**codec.heartbeat_to_dict(beat))
     return len(message.to_bytes_packed())
 
 
--- a/src/magnoliapitch/bench/journal/progress.py
+++ b/src/magnoliapitch/bench/journal/progress.py
@@ -58,7 +58,7 @@
         if group.members[0].applied_everywhere().covers(offset):
             break
     messages = group.link.messages - messages_before
-    beat = group.members[0].beat()
+    beat = group.members[0].own_heartbeat()
     beat_without_progress = beat._replace(
         zones=(), next_offset=0, seen_offset=0
     )
--- a/src/magnoliapitch/entry/job_desk.py
+++ b/src/magnoliapitch/entry/job_service.py
@@ -1,4 +1,4 @@
-"""Accepts jobs."""
+"""Submission and cancellation of jobs."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 QUEUE_FULL_RETRY_MS = 30_000
 
 
-class JobDesk:
-    """Chooses the rack of a new job, or refuses what can never run."""
+class JobService:
+    """Assigns new jobs to racks, and refuses jobs that can never run."""
 
     def __init__(
         self,
@@ -44,14 +44,17 @@
         self._journal = journal
         self._fleet = fleet
         self._scheduler = scheduler
-        self._shapes: dict[str, tuple[WorkerShape, ...]] = {}
-        self._shapes_generation = -1
+        self._cached_shapes_by_unit: dict[str, tuple[WorkerShape, ...]] = {}
+        self._cached_generation = -1
 
     def submit(self, job: JobSpec, timeout_ms: int) -> Result[None, Failure]:
-        """Accept a job through the log; the same job again is accepted."""
-        known = self._known(job)
-        if known is not None:
-            return known
+        """Append a job to the log.
+
+        Submitting the same job again succeeds without effect.
+        """
+        known_outcome = self._outcome_of_known(job)
+        if known_outcome is not None:
+            return known_outcome
         unit = self.choose_unit(job)
         if isinstance(unit, Err):
             return unit
@@ -63,10 +66,15 @@
         if outcome.ok_value.applied:
             return Ok(None)
         reason = outcome.ok_value.reason
-        return self._known(job) or Err(not_run(FailureCode.CONFLICT, reason))
+        return self._outcome_of_known(job) or Err(
+            not_run(FailureCode.CONFLICT, reason)
+        )
 
     def cancel(self, job_id: str, timeout_ms: int) -> Result[None, Failure]:
-        """Cancel a job through the log; cancelling again is accepted."""
+        """Append the cancellation of a job to the log.
+
+        Cancelling a job again succeeds without effect.
+        """
         if self._is_cancelled(job_id):
             return Ok(None)
         outcome = self._journal.commit(JobCancel(job_id), timeout_ms)
@@ -78,7 +86,7 @@
         return Err(not_run(FailureCode.CONFLICT, reason))
 
     def choose_unit(self, job: JobSpec) -> Result[str, Failure]:
-        """Return the least loaded rack that can hold a job."""
+        """Return the rack with the fewest open tasks that can run a job."""
         with self._journal.reading() as state:
             versioned = state.catalogue_by_name.get(job.entry)
         if versioned is None:
@@ -93,11 +101,11 @@
             return Err(
                 not_run(
                     FailureCode.UNAVAILABLE,
-                    "no rack is owned",
+                    "no rack with workers is owned by an instance",
                     NO_RACK_RETRY_MS,
                 )
             )
-        task = _request(job, versioned.entry)
+        task = _task_request(job, versioned.entry)
         reason = ""
         for unit in sorted(load_by_unit, key=load_by_unit.__getitem__):
             reason = self._scheduler.infeasibility_reason(
@@ -105,13 +113,16 @@
             )
             if not reason:
                 limit = versioned.entry.limits.queued
-                return self._bounded(job, unit, limit)
+                return self._check_queue_limit(job, unit, limit)
         return Err(not_run(FailureCode.IMPOSSIBLE, reason))
 
-    def _bounded(
+    def _check_queue_limit(
         self, job: JobSpec, unit: str, limit: int
     ) -> Result[str, Failure]:
-        """Refuse a job whose entry has too many tasks waiting."""
+        """Return the rack, or refuse if the entry has too many open tasks.
+
+        :param limit: highest number of open tasks of the catalogue entry.
+        """
         with self._journal.reading() as state:
             waiting = state.open_tasks_by_entry.get(job.entry, 0)
         if waiting + job.tasks <= limit:
@@ -125,18 +136,18 @@
             )
         )
 
-    def _known(self, job: JobSpec) -> Result[None, Failure] | None:
-        """Return the answer to a job whose id the log knows."""
+    def _outcome_of_known(self, job: JobSpec) -> Result[None, Failure] | None:
+        """Return the outcome for a job whose id is in the log, or None."""
         with self._journal.reading() as state:
-            known = state.jobs_by_id.get(job.job_id)
-        if known is None:
+            known_job = state.jobs_by_id.get(job.job_id)
+        if known_job is None:
             return None
-        if known.spec == job:
+        if known_job.spec == job:
             return Ok(None)
         return Err(
             not_run(
                 FailureCode.DUPLICATE,
-                f"another job has the id {job.job_id}",
+                f"a different job with the id {job.job_id} exists",
             )
         )
 
@@ -146,24 +157,32 @@
             return job is not None and job.cancelled
 
     def _shapes_by_unit(self) -> dict[str, tuple[WorkerShape, ...]]:
-        """Return the workers of each rack, made anew for a new list."""
+        """Return the workers of each rack.
+
+        They are cached until the instance list changes.
+        """
         generation = self._fleet.generation
-        if self._shapes_generation == generation:
-            return self._shapes
+        if self._cached_generation == generation:
+            return self._cached_shapes_by_unit
         found: dict[str, list[WorkerShape]] = {}
         for worker in self._fleet.of_role(InstanceRole.WORKER):
             shape = WorkerShape(
                 worker.instance_id, worker.unit, worker.zone, worker.capacity
             )
             found.setdefault(worker.unit, []).append(shape)
-        self._shapes = {unit: tuple(items) for unit, items in found.items()}
-        self._shapes_generation = generation
-        return self._shapes
+        self._cached_shapes_by_unit = {
+            unit: tuple(items) for unit, items in found.items()
+        }
+        self._cached_generation = generation
+        return self._cached_shapes_by_unit
 
     def _load_by_unit(
         self, shapes_by_unit: dict[str, tuple[WorkerShape, ...]]
     ) -> dict[str, tuple[int, str]]:
-        """Return the unfinished tasks of each owned rack, and its name."""
+        """Return the sort key of each owned rack.
+
+        :return: number of unfinished tasks, then the name of the rack.
+        """
         with self._journal.reading() as state:
             load_by_unit = {
                 claim.unit: state.open_tasks_by_unit.get(claim.unit, 0)
@@ -173,7 +192,7 @@
         return {unit: (load, unit) for unit, load in load_by_unit.items()}
 
 
-def _request(job: JobSpec, entry: CatalogueEntry) -> TaskRequest:
+def _task_request(job: JobSpec, entry: CatalogueEntry) -> TaskRequest:
     is_gang = entry.work_class is WorkClass.GANG
     return TaskRequest(
         f"{job.job_id}/0/0",
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -361,7 +361,7 @@
         self, placements: tuple[Placement, ...], now_ms: int
     ) -> None:
         for placement in placements:
-            attempt_key = parse_lease_id(placement.task_id)
+            attempt_key = parse_lease_id(placement.attempt_id)
             channel = self._channels_by_worker.get(placement.worker_id)
             if attempt_key is None or channel is None:
                 continue
@@ -381,7 +381,7 @@
             self._metrics.observe("task_wait", waited_ms, task.work_class)
             is_releasing = self._is_releasing(channel)
             if channel.accepts_starts and not is_releasing:
-                channel.pending_starts[task.task_id] = None
+                channel.pending_starts[task.attempt_id] = None
             else:
                 self._tracker.requeue(channel, attempt, now_ms)
 
@@ -396,13 +396,13 @@
             if channel is None:
                 continue
             if eviction.action is EvictionAction.THROTTLE:
-                channel.pending_throttles_by_lease[eviction.task_id] = (
+                channel.pending_throttles_by_lease[eviction.attempt_id] = (
                     eviction.cpu_millis
                 )
             elif eviction.action is EvictionAction.CHECKPOINT:
-                channel.pending_checkpoints[eviction.task_id] = None
+                channel.pending_checkpoints[eviction.attempt_id] = None
             else:
-                channel.pending_stops[eviction.task_id] = None
+                channel.pending_stops[eviction.attempt_id] = None
 
     def _submit_next_call(self, channel: WorkerChannel, now_ms: int) -> None:
         is_releasing = self._is_releasing(channel)
--- a/src/magnoliapitch/peer/codec.py
+++ b/src/magnoliapitch/peer/codec.py
@@ -1,4 +1,4 @@
-"""Translation between plain messages and Cap'n Proto ones."""
+"""Conversion between the Python messages and their Cap'n Proto form."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from result import Result
 
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.message import LogPage
 from magnoliapitch.peer.message import MemberInfo
 from magnoliapitch.peer.message import UnitLoad
@@ -27,30 +27,30 @@
 
 schema: Any = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
-NO_RETRY_MS = -1
+NO_RETRY_AFTER_MS = -1  # encodes a failure without a retry delay
 
 
-def beat_to_dict(beat: Beat) -> dict[str, Any]:
+def heartbeat_to_dict(heartbeat: Heartbeat) -> dict[str, Any]:
     """Return the Cap'n Proto fields of a heartbeat."""
     return {
-        "instanceId": beat.instance_id,
-        "incarnation": beat.incarnation,
-        "zone": beat.zone,
-        "nextOffset": beat.next_offset,
-        "logAgeMs": beat.log_age_ms,
-        "leaving": beat.leaving,
-        "loads": [_load_to_dict(load) for load in beat.loads],
-        "members": [_member_to_dict(member) for member in beat.members],
-        "peerAddress": beat.peer_address,
-        "seenOffset": beat.seen_offset,
-        "complete": beat.complete,
-        "zones": [_zone_to_dict(zone) for zone in beat.zones],
+        "instanceId": heartbeat.instance_id,
+        "incarnation": heartbeat.incarnation,
+        "zone": heartbeat.zone,
+        "nextOffset": heartbeat.next_offset,
+        "logAgeMs": heartbeat.log_age_ms,
+        "leaving": heartbeat.leaving,
+        "loads": [_load_to_dict(load) for load in heartbeat.loads],
+        "members": [_member_to_dict(member) for member in heartbeat.members],
+        "peerAddress": heartbeat.peer_address,
+        "seenOffset": heartbeat.seen_offset,
+        "complete": heartbeat.complete,
+        "zones": [_zone_to_dict(zone) for zone in heartbeat.zones],
     }
 
 
-def beat_from(reader: Any) -> Beat:
-    """Return the heartbeat that a Cap'n Proto reader holds."""
-    return Beat(
+def heartbeat_from(reader: Any) -> Heartbeat:
+    """Decode a heartbeat from a Cap'n Proto reader."""
+    return Heartbeat(
         reader.instanceId,
         reader.incarnation,
         reader.zone,
@@ -79,7 +79,7 @@
 
 
 def request_from(reader: Any) -> ForwardedRequest:
-    """Return the request that a Cap'n Proto reader holds."""
+    """Decode a forwarded request from a Cap'n Proto reader."""
     return ForwardedRequest(
         reader.requestId,
         reader.entry,
@@ -93,29 +93,37 @@
 def answer_to_dict(
     request_id: str, outcome: Result[ForwardedAnswer, Failure]
 ) -> dict[str, Any]:
-    """Return the Cap'n Proto fields of an answer."""
+    """Return the Cap'n Proto fields of an answer or a failure.
+
+    :param request_id: id of the request, used if it failed.
+    """
     if isinstance(outcome, Ok):
         answer = outcome.ok_value
         return {
             "requestId": answer.request_id,
             "status": answer.status,
             "body": answer.body,
-            "retryAfterMs": NO_RETRY_MS,
+            "retryAfterMs": NO_RETRY_AFTER_MS,
             "contentType": answer.content_type,
         }
     failure = outcome.err_value
-    retry_ms = failure.retry_after_ms
+    retry_after_ms = failure.retry_after_ms
     return {
         "requestId": request_id,
         "verdict": failure.verdict.value,
         "code": failure.code.value,
         "detail": failure.detail,
-        "retryAfterMs": NO_RETRY_MS if retry_ms is None else retry_ms,
+        "retryAfterMs": NO_RETRY_AFTER_MS
+        if retry_after_ms is None
+        else retry_after_ms,
     }
 
 
 def answer_from(reader: Any) -> Result[ForwardedAnswer, Failure]:
-    """Return the answer that a Cap'n Proto reader holds."""
+    """Decode an answer or a failure from a Cap'n Proto reader.
+
+    :raises ValueError: if the verdict or the failure code is unknown.
+    """
     if not reader.verdict:
         return Ok(
             ForwardedAnswer(
@@ -125,19 +133,19 @@
                 reader.contentType,
             )
         )
-    retry_ms = reader.retryAfterMs
+    retry_after_ms = reader.retryAfterMs
     return Err(
         Failure(
             Verdict(reader.verdict),
             FailureCode(reader.code),
             reader.detail,
-            None if retry_ms < 0 else retry_ms,
+            None if retry_after_ms < 0 else retry_after_ms,
         )
     )
 
 
 def page_to_dict(page: LogPage) -> dict[str, Any]:
-    """Return the Cap'n Proto fields of relayed log records."""
+    """Return the Cap'n Proto fields of a page of log records."""
     return {
         "records": [
             {"offset": record.offset, "data": record.data}
@@ -149,7 +157,7 @@
 
 
 def page_from(reader: Any) -> LogPage:
-    """Return the log records that a Cap'n Proto reader holds."""
+    """Decode a page of log records from a Cap'n Proto reader."""
     return LogPage(
         tuple(
             LogRecord(item.offset, bytes(item.data)) for item in reader.records
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -123,7 +123,7 @@
     }
     simulation.run(2 * TAKEOVER_MAX_MS, TICK_MS)
     assert owner_seen_through_the_log(simulation) != owner
-    phases = instance.core.jobs.dump()["workers"]
+    phases = instance.core.job_manager.dump()["workers"]
     assert isinstance(phases, dict)
     assert set(phases.values()) == {"yielded"}
     instance.environment.is_log_unreachable = False
@@ -179,7 +179,7 @@
     }
     assert not restarted_lease_ids
     running = [
-        instance.core.jobs.dump()["running"]
+        instance.core.job_manager.dump()["running"]
         for instance in simulation.instances_by_id.values()
     ]
     assert any(running)
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -27,7 +27,7 @@
 START_TIMEOUT_S = 60
 
 
-class EntryFile(NamedTuple):
+class EntryFileSettings(NamedTuple):
     zone: str
     platform_url: str
     policy: str
@@ -35,10 +35,10 @@
 
 
 class EntryProcess:
-    """An entry instance running as a process of its own."""
+    """Entry instance that runs in a separate process."""
 
     def __init__(
-        self, number: int, settings: EntryFile, folder_path: Path
+        self, number: int, settings: EntryFileSettings, folder_path: Path
     ) -> None:
         ports = free_ports(3)
         if settings.caller_port:
@@ -95,15 +95,15 @@
 
 
 class Deployment:
-    """Stand-ins of a cell in this process and entries in others."""
+    """Stand-in platform in this process, entry instances in others."""
 
     def __init__(self, folder: Path) -> None:
-        self.cell = StandinCluster(QUETZALTENANGO_SHAPE)
+        self.cluster = StandinCluster(QUETZALTENANGO_SHAPE)
         self.server = StandinServer(
-            self.cell.log,
-            self.cell.instance_list,
-            self.cell.workers,
-            self.cell.backends,
+            self.cluster.log,
+            self.cluster.instance_list,
+            self.cluster.workers,
+            self.cluster.backends,
         )
         self.server.start()
         self.entries: list[EntryProcess] = []
@@ -117,7 +117,7 @@
         platform_url: str = "",
     ) -> EntryProcess:
         number = len(self.entries) + 1
-        settings = EntryFile(
+        settings = EntryFileSettings(
             zone, platform_url or self.server.url, policy, caller_port
         )
         entry = EntryProcess(number, settings, self._folder)
--- a/tests/process/test_request_fault.py
+++ b/tests/process/test_request_fault.py
@@ -40,7 +40,10 @@
 
 
 class Caller:
-    """Repeats each request through any entry until it has a result."""
+    """Sends each request through random entries until one answers 200.
+
+    Each request is tried at most four times.
+    """
 
     def __init__(
         self, number: int, entries: list[EntryProcess], events: list[object]
@@ -55,12 +58,12 @@
             name = f"c{self.number}-{count}"
             headers = {"Idempotency-Key": name}
             if count % 2:
-                headers = {"Ticket": self.draw()}
+                headers = {"Ticket": self.request_ticket()}
             for attempt in range(4):
                 if self.send(f"{name}-{attempt}", name, headers):
                     break
 
-    def draw(self) -> str:
+    def request_ticket(self) -> str:
         while True:
             url = f"{self.random.choice(self.entries).url}/v1/tickets"
             try:
@@ -88,8 +91,8 @@
                 timeout=TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError:
-            lost = ResponseReceived(attempt, Verdict.MAY_HAVE_RUN)
-            self.events.append(lost)
+            lost_response = ResponseReceived(attempt, Verdict.MAY_HAVE_RUN)
+            self.events.append(lost_response)
             return False
         if answer.status == 200:
             body = answer.json()["echo"].encode()
@@ -100,10 +103,10 @@
         return False
 
 
-def test_requests_keep_every_promise_while_entries_die_and_pause(
+def test_request_guarantees_hold_while_entries_are_killed_and_paused(
     deployment: Deployment,
 ) -> None:
-    for zone in (*deployment.cell.shape.zones, "xela-norte"):
+    for zone in (*deployment.cluster.shape.zones, "xela-norte"):
         deployment.add_entry(zone)
     entries = deployment.entries
     for entry in entries:
@@ -116,13 +119,13 @@
         kind = ExecutionStarted if is_start else ExecutionEnded
         events.append(kind(request_id, server))
 
-    deployment.cell.backends.observer = observe
-    deployment.cell.backends.duration_ms = 20
+    deployment.cluster.backends.observer = observe
+    deployment.cluster.backends.duration_ms = 20
     callers = [Caller(n, entries, events) for n in range(CALLERS)]  # type: ignore[arg-type]
     threads = [threading.Thread(target=caller.run) for caller in callers]
     for thread in threads:
         thread.start()
-    _disturb(deployment)
+    _inject_faults(deployment)
     for thread in threads:
         thread.join(WAIT_S)
         assert not thread.is_alive()
@@ -133,15 +136,15 @@
     assert results
 
 
-def _disturb(deployment: Deployment) -> None:
+def _inject_faults(deployment: Deployment) -> None:
     servers = [
         info.instance_id
-        for info in deployment.cell.instance_list.by_id.values()
+        for info in deployment.cluster.instance_list.by_id.values()
         if info.app
     ]
     for server in servers[::3]:
-        deployment.cell.backends.add_fault(server, BackendFault.REFUSE)
-        deployment.cell.backends.add_fault(
+        deployment.cluster.backends.add_fault(server, BackendFault.REFUSE)
+        deployment.cluster.backends.add_fault(
             server, BackendFault.TRUNCATE_ANSWER
         )
     paused, killed = deployment.entries[1].process, deployment.entries[2]
@@ -149,8 +152,8 @@
     paused.send_signal(signal.SIGSTOP)
     time.sleep(0.5)
     killed.process.kill()
-    deployment.cell.log.down = True
+    deployment.cluster.log.down = True
     time.sleep(1)
     paused.send_signal(signal.SIGCONT)
     time.sleep(0.5)
-    deployment.cell.log.down = False
+    deployment.cluster.log.down = False
