--- a/src/magnoliapitch/api/catalogue.py
+++ b/src/magnoliapitch/api/catalogue.py
@@ -47,7 +47,7 @@
 def _add_read_routes(application: Application, core: EntryCore) -> None:
     @application.route("GET", "/v1/catalogue")
     def show_all(request: HttpRequest) -> HttpResponse:  # noqa: ARG001
-        with core.journal.reading() as state:
+        with core.journal.locked_state() as state:
             entries = sorted(state.catalogue_by_name.items())
         rows = [_row(name, versioned) for name, versioned in entries]
         return json_response({"entries": rows})
@@ -166,7 +166,7 @@
 
 
 def _find(core: EntryCore, name: str) -> VersionedEntry | None:
-    with core.journal.reading() as state:
+    with core.journal.locked_state() as state:
         return state.catalogue_by_name.get(name)
 
 
--- a/src/magnoliapitch/api/explanation.py
+++ b/src/magnoliapitch/api/explanation.py
@@ -63,7 +63,7 @@
 
 
 def _owner_of(core: EntryCore, job_id: str) -> Result[_Owner, Failure]:
-    with core.journal.reading() as state:
+    with core.journal.locked_state() as state:
         job = state.jobs_by_id.get(job_id)
         if job is None:
             return Err(not_run(FailureCode.NOT_FOUND, f"no job {job_id}"))
--- a/src/magnoliapitch/bench/capacity/sample.py
+++ b/src/magnoliapitch/bench/capacity/sample.py
@@ -13,8 +13,8 @@
 from magnoliapitch.journal.codec import encode_record
 from magnoliapitch.journal.log import LogRecord
 from magnoliapitch.journal.record import CataloguePut
-from magnoliapitch.journal.record import EntryJoin
 from magnoliapitch.journal.record import JobSubmit
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.journal.record import RecordEntry
 from magnoliapitch.journal.record import TaskEnd
 from magnoliapitch.membership.instance import InstanceInfo
@@ -45,9 +45,9 @@
     return CataloguePut(entry, 0)
 
 
-def entry_join(number: int) -> EntryJoin:
+def entry_join(number: int) -> MemberJoin:
     """Return a journal entry with which an entry instance joins."""
-    return EntryJoin(
+    return MemberJoin(
         f"entry-{number}",
         f"{number:032x}",
         f"zone-{number % 22}",
--- a/src/magnoliapitch/bench/journal/append.py
+++ b/src/magnoliapitch/bench/journal/append.py
@@ -8,7 +8,7 @@
 
 from magnoliapitch.clock import ManualClock
 from magnoliapitch.journal import Journal
-from magnoliapitch.journal.record import EntryPresence
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.standin.log import StandinLog
 
 
@@ -47,7 +47,7 @@
     while clock.now_ms() < SIMULATED_DURATION_MS:
         now_ms = clock.now_ms()
         while queued_count * 1000 < now_ms * entries_per_s:
-            journal.enqueue(EntryPresence("a"))
+            journal.enqueue(MemberPresence("a"))
             queued_times_ms.append(now_ms)
             queued_count += 1
         if now_ms >= next_append_ms and queued_times_ms:
--- a/src/magnoliapitch/bench/journal/heartbeat.py
+++ b/src/magnoliapitch/bench/journal/heartbeat.py
@@ -9,7 +9,7 @@
 
 from magnoliapitch.clock import ManualClock
 from magnoliapitch.journal import Journal
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.membership import Identity
 from magnoliapitch.membership import Membership
 from magnoliapitch.peer import codec
@@ -119,7 +119,7 @@
         address = f"10.{len(self.members)}.0.{number}:8082"
         identity = Identity.create(f"{zone}-entry-{number}", zone, address)
         journal = Journal(self.log, identity.incarnation, self.clock)
-        journal.enqueue(EntryJoin(*identity))
+        journal.enqueue(MemberJoin(*identity))
         journal.append_step()
         member = BenchMember(identity, journal, self.clock)
         self.network.handlers_by_address[address] = member  # type: ignore[assignment]
--- a/src/magnoliapitch/bench/journal/progress.py
+++ b/src/magnoliapitch/bench/journal/progress.py
@@ -10,9 +10,9 @@
 from magnoliapitch.clock import ManualClock
 from magnoliapitch.journal import Journal
 from magnoliapitch.journal import encode_record
-from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.journal.record import EntryPresence
 from magnoliapitch.journal.record import JobCancel
+from magnoliapitch.journal.record import MemberJoin
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.peer import codec
 from magnoliapitch.standin.log import StandinLog
 
@@ -111,7 +111,7 @@
         for number in range(instances)
     ]
     for number, journal in enumerate(journals):
-        join = EntryJoin(f"entry-{number}", journal.incarnation, "zone", "")
+        join = MemberJoin(f"entry-{number}", journal.incarnation, "zone", "")
         log.append(encode_record((join,)))
     for journal in journals:
         journal.follow_step()
@@ -125,7 +125,7 @@
                 number not in reported_instances
                 and journal.next_offset > offset
             ):
-                journal.enqueue(EntryPresence(journal.incarnation))
+                journal.enqueue(MemberPresence(journal.incarnation))
                 reported_instances.add(number)
             if clock.now_ms() >= next_append_ms[number]:
                 next_append_ms[number] = clock.now_ms() + journal.append_step()
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -11,8 +11,8 @@
 from magnoliapitch.event import log_event
 from magnoliapitch.job.manager import JobManager
 from magnoliapitch.journal.journal import Journal
-from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.journal.record import EntryLeave
+from magnoliapitch.journal.record import MemberJoin
+from magnoliapitch.journal.record import MemberLeave
 from magnoliapitch.journal.snapshot_writer import SnapshotWriter
 from magnoliapitch.membership.fleet import Fleet
 from magnoliapitch.membership.identity import Identity
@@ -190,7 +190,7 @@
     def join(self) -> None:
         """Announce this incarnation through the log."""
         self.journal.enqueue(
-            EntryJoin(
+            MemberJoin(
                 self.identity.instance_id,
                 self.identity.incarnation,
                 self.identity.zone,
@@ -201,7 +201,7 @@
 
     def leave(self) -> None:
         """Announce the departure; call it when no step runs any more."""
-        self.journal.enqueue(EntryLeave(self.identity.incarnation))
+        self.journal.enqueue(MemberLeave(self.identity.incarnation))
         for _ in range(LEAVE_TRIES):
             if not self.journal.has_unsent():
                 return
@@ -244,7 +244,7 @@
 
     def patience_ms(self, entry: str) -> int:
         """Return how long callers of an entry wait."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(entry)
         if versioned is None:
             return DEFAULT_PATIENCE_MS
@@ -252,19 +252,19 @@
 
     def class_of(self, entry: str) -> str:
         """Return the class of an entry's work, or ``unknown``."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(entry)
         return versioned.entry.work_class.value if versioned else "unknown"
 
     def job_status(self, job_id: str) -> dict[str, object] | None:
         """Return what the log knows of a job."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             job = state.jobs_by_id.get(job_id)
             return None if job is None else _job_row(job)
 
     def job_list(self) -> list[dict[str, object]]:
         """Return what the log knows of every job."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             return [_job_row(job) for job in state.jobs_by_id.values()]
 
     def dump(self) -> dict[str, object]:
--- a/src/magnoliapitch/entry/job_desk.py
+++ b/src/magnoliapitch/entry/job_desk.py
@@ -79,7 +79,7 @@
 
     def choose_unit(self, job: JobSpec) -> Result[str, Failure]:
         """Return the least loaded rack that can hold a job."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(job.entry)
         if versioned is None:
             return Err(
@@ -112,7 +112,7 @@
         self, job: JobSpec, unit: str, limit: int
     ) -> Result[str, Failure]:
         """Refuse a job whose entry has too many tasks waiting."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             waiting = state.open_tasks_by_entry.get(job.entry, 0)
         if waiting + job.tasks <= limit:
             return Ok(unit)
@@ -127,7 +127,7 @@
 
     def _known(self, job: JobSpec) -> Result[None, Failure] | None:
         """Return the answer to a job whose id the log knows."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             known = state.jobs_by_id.get(job.job_id)
         if known is None:
             return None
@@ -141,7 +141,7 @@
         )
 
     def _is_cancelled(self, job_id: str) -> bool:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             job = state.jobs_by_id.get(job_id)
             return job is not None and job.cancelled
 
@@ -164,7 +164,7 @@
         self, shapes_by_unit: dict[str, tuple[WorkerShape, ...]]
     ) -> dict[str, tuple[int, str]]:
         """Return the unfinished tasks of each owned rack, and its name."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             load_by_unit = {
                 claim.unit: state.open_tasks_by_unit.get(claim.unit, 0)
                 for claim in state.claims_by_unit.values()
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -39,7 +39,7 @@
     from magnoliapitch.decision.interface import Explanation
     from magnoliapitch.decision.interface import Placement
     from magnoliapitch.decision.interface import Scheduler
-    from magnoliapitch.journal.job_change import ChangedTask
+    from magnoliapitch.journal.job_change import JobChange
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
@@ -204,7 +204,7 @@
                 continue
             self._units_by_name[name] = OwnedUnit(claim, self._clock.now_ms())
             log_event("unit-claimed", unit=name, epoch=claim.epoch)
-            with self._journal.reading() as state:
+            with self._journal.locked_state() as state:
                 jobs = [
                     job
                     for job in state.jobs_by_id.values()
@@ -292,7 +292,7 @@
                 self._backlog.add_job(job_id)
 
     def _apply_job_changes(self, now_ms: int) -> None:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             if state is not self._state:
                 self._state = state
                 self._admit_unfinished(state)
@@ -323,7 +323,7 @@
             self._backlog.add_job(job.spec.job_id)
 
     def _apply_change(
-        self, state: ClusterState, change: ChangedTask, now_ms: int
+        self, state: ClusterState, change: JobChange, now_ms: int
     ) -> None:
         job = state.jobs_by_id.get(change.job_id)
         if change.task < 0:
@@ -386,7 +386,7 @@
                 self._tracker.requeue(channel, attempt, now_ms)
 
     def _payload(self, job_id: str) -> str:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             job = state.jobs_by_id.get(job_id)
             return job.spec.payload if job else ""
 
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -30,7 +30,7 @@
     from magnoliapitch.job.channel import PlannedCall
     from magnoliapitch.job.channel import WorkerChannel
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
     from magnoliapitch.journal.state import JobRecord
     from magnoliapitch.ownership.presence_lease import PresenceLease
 
@@ -62,7 +62,7 @@
         self._scheduler = scheduler
         self._backlog = backlog
         self._attempts_by_task: dict[TaskKey, dict[int, Attempt]] = {}
-        self._pending_ends_by_task: dict[TaskKey, PendingEntry] = {}
+        self._pending_ends_by_task: dict[TaskKey, PendingRecordEntry] = {}
 
     def __contains__(self, key: object) -> bool:
         return key in self._attempts_by_task
@@ -313,7 +313,7 @@
         task.
         """
         key = attempt.task_key
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             job = state.jobs_by_id.get(key.job_id)
             recorded_attempts = (
                 job.attempts_by_task.get(key.task, 0) if job else 0
@@ -348,7 +348,7 @@
         self, channel: WorkerChannel, lease: LeaseView, now_ms: int
     ) -> None:
         attempt_key = parse_lease_id(lease.lease_id)
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             job = (
                 state.jobs_by_id.get(attempt_key.job_id)
                 if attempt_key
--- a/src/magnoliapitch/journal/__init__.py
+++ b/src/magnoliapitch/journal/__init__.py
@@ -10,13 +10,13 @@
 from magnoliapitch.journal.codec import encode_record
 from magnoliapitch.journal.journal import Journal
 from magnoliapitch.journal.state import ClusterState
-from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import RecordEntryOutcome
 from magnoliapitch.journal.state_machine import apply_record
 
 
 __all__ = [
     "ClusterState",
-    "EntryOutcome",
+    "RecordEntryOutcome",
     "Journal",
     "apply_record",
     "decode_record",
--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -13,7 +13,7 @@
 from result import Result
 
 from magnoliapitch.journal.codec import encode_batch
-from magnoliapitch.journal.pending_entry import PendingEntry
+from magnoliapitch.journal.pending_entry import PendingRecordEntry
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -52,7 +52,7 @@
     seq: int
     base: int
     data: bytes
-    pending: tuple[PendingEntry, ...]
+    pending: tuple[PendingRecordEntry, ...]
 
 
 class Appender:
@@ -83,7 +83,7 @@
         self._budget = budget
         self._next_offset = next_offset
         self._condition = threading.Condition()
-        self._queue: deque[PendingEntry] = deque()
+        self._queue: deque[PendingRecordEntry] = deque()
         self._batch: Batch | None = None
         self._may_be_appended = False
         self._seq = 0
@@ -92,13 +92,13 @@
         self.appends = 0
         self.entries = 0
 
-    def enqueue(self, entry: RecordEntry) -> PendingEntry:
+    def enqueue(self, entry: RecordEntry) -> PendingRecordEntry:
         """Queue a record entry for one of the next batches.
 
         :return: the queued entry; it has failed already if the entry is
             too large or the queue is full.
         """
-        pending = PendingEntry(entry, self._withdraw)
+        pending = PendingRecordEntry(entry, self._withdraw)
         size_bytes = len(pending.data)
         if size_bytes > ENTRY_MAX_BYTES:
             detail = (
@@ -162,7 +162,7 @@
         :param applied_seq: sequence number of this writer's newest record
             in the snapshot, 0 if there is none.
         """
-        unresolved: list[PendingEntry] = []
+        unresolved: list[PendingRecordEntry] = []
         with self._condition:
             for seq, batch in tuple(self._sent_by_seq.items()):
                 offset = self._offset_by_seq.get(seq)
@@ -204,7 +204,7 @@
             self._sent_by_seq[self._seq] = self._batch
             return self._batch
 
-    def _pop_queue(self) -> tuple[PendingEntry, ...]:
+    def _pop_queue(self) -> tuple[PendingRecordEntry, ...]:
         pending = [self._queue.popleft()]
         size_bytes = len(pending[0].data)
         while self._queue and len(pending) < BATCH_MAX_ENTRIES:
@@ -260,7 +260,7 @@
         self._offset_by_seq.pop(seq, None)
         return self._sent_by_seq.pop(seq, None)
 
-    def _withdraw(self, pending: PendingEntry) -> bool:
+    def _withdraw(self, pending: PendingRecordEntry) -> bool:
         with self._condition:
             try:
                 self._queue.remove(pending)
@@ -269,7 +269,7 @@
             return True
 
 
-def _resolve_unknown(pending: Iterable[PendingEntry]) -> None:
+def _resolve_unknown(pending: Iterable[PendingRecordEntry]) -> None:
     """Fail entries whose outcome is unknown because of a snapshot."""
     detail = (
         "a snapshot was loaded in place of the record, so its outcome is "
--- a/src/magnoliapitch/journal/handler/catalogue.py
+++ b/src/magnoliapitch/journal/handler/catalogue.py
@@ -6,7 +6,7 @@
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import VersionedEntry
-from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import RecordEntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
 
@@ -14,7 +14,7 @@
 @handles(CataloguePut)
 def put_entry(
     state: ClusterState, offset: int, change: CataloguePut
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Create or replace an entry if the expected version is current."""
     name = change.entry.name
     problem = _version_problem(state, name, change.expected_version)
@@ -25,7 +25,7 @@
     state.catalogue_by_name[name] = VersionedEntry(
         change.entry, version, offset
     )
-    return EntryOutcome(applied=True, version=version)
+    return RecordEntryOutcome(applied=True, version=version)
 
 
 @handles(CatalogueDelete)
@@ -33,7 +33,7 @@
     state: ClusterState,
     offset: int,  # noqa: ARG001
     change: CatalogueDelete,
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Delete an entry if the expected version is current."""
     problem = _version_problem(state, change.name, change.expected_version)
     if problem:
@@ -44,7 +44,7 @@
     del state.catalogue_by_name[change.name]
     del state.last_version_by_name[change.name]
     state.last_version_by_name[change.name] = version
-    return EntryOutcome(applied=True, version=version)
+    return RecordEntryOutcome(applied=True, version=version)
 
 
 def _last_version(state: ClusterState, name: str) -> int:
--- a/src/magnoliapitch/journal/handler/job.py
+++ b/src/magnoliapitch/journal/handler/job.py
@@ -12,7 +12,7 @@
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import JobRecord
 from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import RecordEntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
 
@@ -20,7 +20,7 @@
 @handles(JobSubmit)
 def submit_job(
     state: ClusterState, offset: int, submit: JobSubmit
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Add a job unless its id is already used."""
     job_id = submit.job.job_id
     if job_id in state.jobs_by_id:
@@ -36,7 +36,7 @@
     state: ClusterState,
     offset: int,  # noqa: ARG001
     move: JobMove,
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Assign a job to another unit.
 
     The epoch must be that of the current claim on the job's unit. A job
@@ -73,7 +73,7 @@
     state: ClusterState,
     offset: int,  # noqa: ARG001
     cancel: JobCancel,
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Cancel a job unless it is done."""
     job = state.jobs_by_id.get(cancel.job_id)
     if job is None:
@@ -90,7 +90,7 @@
     state: ClusterState,
     offset: int,  # noqa: ARG001
     end: TaskEnd,
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Record the outcome of the current attempt of a task."""
     job = state.jobs_by_id.get(end.job_id)
     if job is None or not 0 <= end.task < job.spec.tasks:
--- a/src/magnoliapitch/journal/handler/member.py
+++ b/src/magnoliapitch/journal/handler/member.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.journal.record import EntryLeave
-from magnoliapitch.journal.record import EntryPresence
+from magnoliapitch.journal.record import MemberJoin
+from magnoliapitch.journal.record import MemberLeave
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import Member
 from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import RecordEntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
 
 
-@handles(EntryJoin)
+@handles(MemberJoin)
 def add_member(
-    state: ClusterState, offset: int, join: EntryJoin
-) -> EntryOutcome:
+    state: ClusterState, offset: int, join: MemberJoin
+) -> RecordEntryOutcome:
     """Add an incarnation and mark earlier ones of its instance as left."""
     if join.incarnation in state.members_by_incarnation:
         return rejected(f"{join.incarnation} has already joined")
@@ -29,10 +29,10 @@
     return APPLIED
 
 
-@handles(EntryPresence)
+@handles(MemberPresence)
 def record_presence(
-    state: ClusterState, offset: int, presence: EntryPresence
-) -> EntryOutcome:
+    state: ClusterState, offset: int, presence: MemberPresence
+) -> RecordEntryOutcome:
     """Record the offset of a member's heartbeat."""
     member = state.members_by_incarnation.get(presence.incarnation)
     if member is None or member.left:
@@ -43,10 +43,10 @@
     return APPLIED
 
 
-@handles(EntryLeave)
+@handles(MemberLeave)
 def mark_left(
-    state: ClusterState, offset: int, leave: EntryLeave
-) -> EntryOutcome:
+    state: ClusterState, offset: int, leave: MemberLeave
+) -> RecordEntryOutcome:
     """Mark an incarnation as stopped for good."""
     member = state.members_by_incarnation.get(leave.incarnation)
     if member is None:
--- a/src/magnoliapitch/journal/handler/request.py
+++ b/src/magnoliapitch/journal/handler/request.py
@@ -7,7 +7,7 @@
 from magnoliapitch.journal.record import RequestIntent
 from magnoliapitch.journal.retention import MAX_INTENTS
 from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import RecordEntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
 
@@ -21,7 +21,7 @@
     state: ClusterState,
     offset: int,
     intent: RequestIntent,
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Reserve an idempotency key unless it is already reserved."""
     if intent.key in state.intents_by_key:
         return rejected(f"idempotency key {intent.key} is already reserved")
--- a/src/magnoliapitch/journal/handler/snapshot.py
+++ b/src/magnoliapitch/journal/handler/snapshot.py
@@ -9,7 +9,7 @@
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state import SnapshotProgress
 from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import RecordEntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
 
@@ -20,7 +20,7 @@
 @handles(SnapshotPart)
 def add_part(
     state: ClusterState, offset: int, part: SnapshotPart
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Record a part of a snapshot; parts must arrive in order.
 
     The last part makes the snapshot the newest complete one.
--- a/src/magnoliapitch/journal/handler/unit.py
+++ b/src/magnoliapitch/journal/handler/unit.py
@@ -7,7 +7,7 @@
 from magnoliapitch.journal.state import Claim
 from magnoliapitch.journal.state import ClusterState
 from magnoliapitch.journal.state_machine import APPLIED
-from magnoliapitch.journal.state_machine import EntryOutcome
+from magnoliapitch.journal.state_machine import RecordEntryOutcome
 from magnoliapitch.journal.state_machine import handles
 from magnoliapitch.journal.state_machine import rejected
 
@@ -15,7 +15,7 @@
 @handles(UnitClaim)
 def claim_unit(
     state: ClusterState, offset: int, claim: UnitClaim
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Make a member the owner of a unit and increase the unit's epoch.
 
     The claim must name the current epoch, so that the first of several
@@ -50,7 +50,7 @@
 @handles(UnitRelease)
 def release_unit(
     state: ClusterState, offset: int, release: UnitRelease
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     """Remove the owner of a unit; the epoch stays."""
     current = state.claims_by_unit.get(release.unit)
     if (
--- a/src/magnoliapitch/journal/job_change.py
+++ b/src/magnoliapitch/journal/job_change.py
@@ -15,7 +15,7 @@
     from magnoliapitch.journal.state_machine import RecordOutcome
 
 
-class ChangedTask(NamedTuple):
+class JobChange(NamedTuple):
     """Task or job that a record has changed.
 
     :param task: index of the task within its job; -1 for the whole job.
@@ -29,7 +29,7 @@
     """Collects changed jobs and tasks without duplicates."""
 
     def __init__(self) -> None:
-        self._changes: dict[ChangedTask, None] = {}
+        self._changes: dict[JobChange, None] = {}
 
     def add(self, outcome: RecordOutcome) -> None:
         """Add the jobs and tasks that an applied record has changed."""
@@ -40,18 +40,18 @@
             if change is not None:
                 self._changes[change] = None
 
-    def take(self) -> tuple[ChangedTask, ...]:
+    def take(self) -> tuple[JobChange, ...]:
         """Remove and return the collected changes, oldest first."""
         changes, self._changes = tuple(self._changes), {}
         return changes
 
 
-def _change_of(entry: object) -> ChangedTask | None:
+def _change_of(entry: object) -> JobChange | None:
     match entry:
         case JobSubmit():
-            return ChangedTask(entry.job.job_id)
+            return JobChange(entry.job.job_id)
         case JobMove() | JobCancel():
-            return ChangedTask(entry.job_id)
+            return JobChange(entry.job_id)
         case TaskEnd():
-            return ChangedTask(entry.job_id, entry.task)
+            return JobChange(entry.job_id, entry.task)
     return None
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -28,12 +28,12 @@
     from result import Result
 
     from magnoliapitch.clock import Clock
-    from magnoliapitch.journal.job_change import ChangedTask
+    from magnoliapitch.journal.job_change import JobChange
     from magnoliapitch.journal.log import LogRecord
     from magnoliapitch.journal.log import PlatformLog
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
     from magnoliapitch.journal.record import RecordEntry
-    from magnoliapitch.journal.state_machine import EntryOutcome
+    from magnoliapitch.journal.state_machine import RecordEntryOutcome
     from magnoliapitch.journal.state_machine import RecordOutcome
     from magnoliapitch.peer.message import StateSnapshot
     from magnoliapitch.verdict import Failure
@@ -93,18 +93,18 @@
             return self._state.next_offset
 
     @contextmanager
-    def reading(self) -> Iterator[ClusterState]:
+    def locked_state(self) -> Iterator[ClusterState]:
         """Lock the state for reading; the caller must not block inside."""
         with self._lock:
             yield self._state
 
-    def enqueue(self, entry: RecordEntry) -> PendingEntry:
+    def enqueue(self, entry: RecordEntry) -> PendingRecordEntry:
         """Queue a record entry to be appended to the log."""
         return self.appender.enqueue(entry)
 
     def commit(
         self, entry: RecordEntry, timeout_ms: int
-    ) -> Result[EntryOutcome, Failure]:
+    ) -> Result[RecordEntryOutcome, Failure]:
         """Append a record entry and wait until it is applied.
 
         :param timeout_ms: milliseconds to wait at most.
@@ -187,7 +187,7 @@
             self._advanced.notify_all()
         return True
 
-    def take_job_changes(self) -> tuple[ChangedTask, ...]:
+    def take_job_changes(self) -> tuple[JobChange, ...]:
         """Return the jobs and tasks that changed since the last call.
 
         Changes by :meth:`install` are not included; it may change the
--- a/src/magnoliapitch/journal/pending_entry.py
+++ b/src/magnoliapitch/journal/pending_entry.py
@@ -19,11 +19,11 @@
     from collections.abc import Callable
 
     from magnoliapitch.journal.record import RecordEntry
-    from magnoliapitch.journal.state_machine import EntryOutcome
+    from magnoliapitch.journal.state_machine import RecordEntryOutcome
     from magnoliapitch.verdict import Failure
 
 
-class PendingEntry:
+class PendingRecordEntry:
     """Queued record entry and its future outcome.
 
     :param withdraw: removes the entry from the queue; returns false if it
@@ -37,21 +37,21 @@
     def __init__(
         self,
         entry: RecordEntry,
-        withdraw: Callable[[PendingEntry], bool] | None = None,
+        withdraw: Callable[[PendingRecordEntry], bool] | None = None,
     ) -> None:
         self.entry = entry
         self.data = encode_entry(entry)
-        self.outcome: Result[EntryOutcome, Failure] | None = None
+        self.outcome: Result[RecordEntryOutcome, Failure] | None = None
         self._withdraw = withdraw
         self._done = threading.Event()
 
-    def resolve(self, outcome: Result[EntryOutcome, Failure]) -> None:
+    def resolve(self, outcome: Result[RecordEntryOutcome, Failure]) -> None:
         """Set the outcome and wake the waiter; later calls do nothing."""
         if self.outcome is None:
             self.outcome = outcome
             self._done.set()
 
-    def wait(self, timeout_ms: int) -> Result[EntryOutcome, Failure]:
+    def wait(self, timeout_ms: int) -> Result[RecordEntryOutcome, Failure]:
         """Wait until the entry is applied or its append has failed.
 
         :param timeout_ms: milliseconds to wait at most.
--- a/src/magnoliapitch/journal/record.py
+++ b/src/magnoliapitch/journal/record.py
@@ -67,7 +67,7 @@
 
 
 @record_kind("entry.join")
-class EntryJoin(NamedTuple):
+class MemberJoin(NamedTuple):
     """Announcement of a started entry instance.
 
     :param incarnation: unique id of this start of the instance.
@@ -83,14 +83,14 @@
 
 
 @record_kind("entry.presence")
-class EntryPresence(NamedTuple):
+class MemberPresence(NamedTuple):
     """Heartbeat: the incarnation was able to append to the log."""
 
     incarnation: str
 
 
 @record_kind("entry.leave")
-class EntryLeave(NamedTuple):
+class MemberLeave(NamedTuple):
     """Announcement that an incarnation has stopped for good.
 
     The incarnation itself appends it, or an instance that found it gone.
@@ -222,9 +222,9 @@
 RecordEntry = (
     CataloguePut
     | CatalogueDelete
-    | EntryJoin
-    | EntryPresence
-    | EntryLeave
+    | MemberJoin
+    | MemberPresence
+    | MemberLeave
     | UnitClaim
     | UnitRelease
     | JobSubmit
--- a/src/magnoliapitch/journal/snapshot_writer.py
+++ b/src/magnoliapitch/journal/snapshot_writer.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
     from magnoliapitch.journal.state import ClusterState
 
 
@@ -42,7 +42,7 @@
     ) -> None:
         self._journal = journal
         self._snapshot_interval_records = snapshot_interval_records
-        self._parts: tuple[PendingEntry, ...] = ()
+        self._parts: tuple[PendingRecordEntry, ...] = ()
 
     def step(self) -> int:
         """Append a snapshot if one is due and it is this instance's turn.
@@ -51,7 +51,7 @@
         """
         if not self._journal.is_complete or self._is_writing():
             return CHECK_INTERVAL_MS
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             need = self._need(state)
             rank = _rank(state, self._journal.incarnation)
         if rank is not None and need >= 1 + min(
--- a/src/magnoliapitch/journal/state.py
+++ b/src/magnoliapitch/journal/state.py
@@ -9,7 +9,7 @@
 from magnoliapitch.catalogue.entry import CatalogueEntry
 from magnoliapitch.job.spec import JobSpec  # noqa: TC001
 from magnoliapitch.job.spec import TaskOutcome  # noqa: TC001
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.journal.record import RequestIntent
 
 
@@ -53,7 +53,7 @@
     :param left: whether the incarnation has stopped for good.
     """
 
-    join: EntryJoin
+    join: MemberJoin
     presence_offset: int
     left: bool = False
 
--- a/src/magnoliapitch/journal/state_machine.py
+++ b/src/magnoliapitch/journal/state_machine.py
@@ -23,7 +23,7 @@
     from magnoliapitch.journal.record import Envelope
 
 
-class EntryOutcome(NamedTuple):
+class RecordEntryOutcome(NamedTuple):
     """Result of applying one record entry.
 
     :param applied: whether the state was changed as requested.
@@ -53,14 +53,14 @@
     offset: int
     writer: str
     seq: int
-    outcomes: tuple[EntryOutcome, ...]
+    outcomes: tuple[RecordEntryOutcome, ...]
     is_duplicate: bool = False
     entries: tuple[object, ...] = ()
 
 
-Handler = Callable[[ClusterState, int, Any], EntryOutcome]
+Handler = Callable[[ClusterState, int, Any], RecordEntryOutcome]
 
-APPLIED = EntryOutcome(applied=True)
+APPLIED = RecordEntryOutcome(applied=True)
 
 _handlers_by_type: dict[type, Handler] = {}
 
@@ -75,12 +75,12 @@
     return register
 
 
-def rejected(reason: str) -> EntryOutcome:
+def rejected(reason: str) -> RecordEntryOutcome:
     """Return the outcome of a record entry that changed nothing.
 
     :param reason: why, for the writer and the event log.
     """
-    return EntryOutcome(applied=False, reason=reason)
+    return RecordEntryOutcome(applied=False, reason=reason)
 
 
 def apply_record(state: ClusterState, record: LogRecord) -> RecordOutcome:
@@ -108,7 +108,7 @@
         state.skipped_records += 1
         outcome = rejected(f"malformed record: {error}")
         return RecordOutcome(record.offset, "", 0, (outcome,))
-    outcomes: tuple[EntryOutcome, ...] = ()
+    outcomes: tuple[RecordEntryOutcome, ...] = ()
     is_duplicate = _is_duplicate(state, envelope)
     if not is_duplicate and _is_outdated(envelope, record.offset):
         outcomes = (
@@ -146,7 +146,7 @@
 
 def _apply_envelope(
     state: ClusterState, envelope: Envelope, offset: int
-) -> tuple[EntryOutcome, ...]:
+) -> tuple[RecordEntryOutcome, ...]:
     if envelope.writer:
         state.marks_by_writer[envelope.writer] = WriterMark(
             envelope.seq, offset
@@ -158,7 +158,7 @@
 
 def _apply_entry(
     state: ClusterState, offset: int, entry: object
-) -> EntryOutcome:
+) -> RecordEntryOutcome:
     if isinstance(entry, UnknownRecordEntry):
         state.skipped_records += 1
         return rejected(f"unknown kind of record entry {entry.kind!r}")
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -6,7 +6,7 @@
 
 from typing import TYPE_CHECKING
 
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.membership.progress import AppliedEverywhere
 from magnoliapitch.membership.progress import applied_everywhere
@@ -56,7 +56,7 @@
         self.loads: tuple[UnitLoad, ...] = ()
         self.leaving = False
         self.rounds = 0
-        self._own = EntryJoin(*identity)
+        self._own = MemberJoin(*identity)
         self._journal = journal
         self._clock = clock
         self._fleet = fleet
@@ -138,7 +138,7 @@
 
     def is_superseded(self) -> bool:
         """Return whether the log names this incarnation as gone."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             own = state.members_by_incarnation.get(self.identity.incarnation)
             return own is not None and own.left
 
@@ -197,14 +197,14 @@
             [join for join in self._joins() if join.zone == zone]
         )
 
-    def _statuses(self, joins: list[EntryJoin]) -> tuple[PeerStatus, ...]:
+    def _statuses(self, joins: list[MemberJoin]) -> tuple[PeerStatus, ...]:
         now_ms = self._clock.now_ms()
         with self._lock:
             return tuple(self._table.status(join, now_ms) for join in joins)
 
-    def _joins(self) -> list[EntryJoin]:
+    def _joins(self) -> list[MemberJoin]:
         """Return the other members, from the log and from heartbeats."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             members = dict(state.members_by_incarnation)
         with self._lock:
             joins = self._table.joins()
@@ -218,7 +218,7 @@
 
     def _due(self, now_ms: int) -> dict[str, Beat]:
         """Return the heartbeats of this round by address."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             members = dict(state.members_by_incarnation)
         joins = self._joins()
         due: dict[str, str] = {}
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.event import log_event
-from magnoliapitch.journal.record import EntryLeave
-from magnoliapitch.journal.record import EntryPresence
+from magnoliapitch.journal.record import MemberLeave
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.membership.state import MemberState
 from magnoliapitch.membership.topology import hash_of
@@ -17,7 +17,7 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
@@ -52,9 +52,9 @@
         self._fleet = fleet
         self._clock = clock
         self._on_superseded = on_superseded
-        self._presence: PendingEntry | None = None
+        self._presence: PendingRecordEntry | None = None
         self._presence_ms = clock.now_ms()
-        self._leaves_by_incarnation: dict[str, PendingEntry] = {}
+        self._leaves_by_incarnation: dict[str, PendingRecordEntry] = {}
         self._news_by_incarnation: dict[str, tuple[int, int]] = {}
 
     def step(self) -> int:
@@ -73,7 +73,7 @@
         if self._presence is not None and self._presence.outcome is None:
             return
         incarnation = self._membership.identity.incarnation
-        self._presence = self._journal.enqueue(EntryPresence(incarnation))
+        self._presence = self._journal.enqueue(MemberPresence(incarnation))
         self._presence_ms = now_ms
 
     def _remove_gone(self, now_ms: int) -> None:
@@ -89,7 +89,7 @@
 
     def _is_surely_gone(self, peer: PeerStatus, now_ms: int) -> bool:
         incarnation = peer.join.incarnation
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             member = state.members_by_incarnation.get(incarnation)
         if member is None:
             return False
@@ -143,5 +143,5 @@
             if item.outcome is None
         }
         self._leaves_by_incarnation[incarnation] = self._journal.enqueue(
-            EntryLeave(incarnation)
+            MemberLeave(incarnation)
         )
--- a/src/magnoliapitch/membership/status.py
+++ b/src/magnoliapitch/membership/status.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.membership.state import MemberState
 from magnoliapitch.peer.message import UnitLoad
 
@@ -18,7 +18,7 @@
     :param is_one_way: whether it is heard but does not hear this one.
     """
 
-    join: EntryJoin
+    join: MemberJoin
     state: MemberState
     next_offset: int
     heard_ms: int
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.membership.contact import Contact
 from magnoliapitch.membership.instance import InstanceState
 from magnoliapitch.membership.state import MemberState
@@ -49,7 +49,7 @@
         self._identity = identity
         self._fleet = fleet
         self._contacts_by_incarnation: dict[str, Contact] = {}
-        self._joins_by_incarnation: dict[str, EntryJoin] = {}
+        self._joins_by_incarnation: dict[str, MemberJoin] = {}
         self._reports_by_zone: dict[str, tuple[int, ZoneInfo]] = {}
         self._turn = itertools.count()
 
@@ -77,7 +77,7 @@
         contact.hear(beat, now_ms, self._identity.incarnation)
         if reached_ms is not None:
             contact.reached_ms = max(contact.reached_ms, reached_ms)
-        self._joins_by_incarnation[beat.incarnation] = EntryJoin(
+        self._joins_by_incarnation[beat.incarnation] = MemberJoin(
             beat.instance_id, beat.incarnation, beat.zone, beat.peer_address
         )
         self.seen_offset = max(
@@ -88,7 +88,7 @@
         for report in beat.zones:
             self._take_report(report, now_ms)
 
-    def joins(self) -> dict[str, EntryJoin]:
+    def joins(self) -> dict[str, MemberJoin]:
         """Return who was heard of, by incarnation."""
         return dict(self._joins_by_incarnation)
 
@@ -106,7 +106,7 @@
             if is_left or (is_silent and member is None):
                 del self._contacts_by_incarnation[name]
 
-    def status(self, join: EntryJoin, now_ms: int) -> PeerStatus:
+    def status(self, join: MemberJoin, now_ms: int) -> PeerStatus:
         """Return what other parts see of a member."""
         contact = self.contact(join.incarnation)
         beat = contact.beat
@@ -119,7 +119,7 @@
             self._is_one_way(join, contact, now_ms),
         )
 
-    def is_due(self, join: EntryJoin, now_ms: int, turn: int) -> bool:
+    def is_due(self, join: MemberJoin, now_ms: int, turn: int) -> bool:
         """Return whether to call a member in this round.
 
         One exchange serves both sides, so of a pair only one calls as
@@ -176,7 +176,7 @@
         self.contact(member.incarnation).relay(member, now_ms)
         self._joins_by_incarnation.setdefault(
             member.incarnation,
-            EntryJoin(
+            MemberJoin(
                 member.instance_id,
                 member.incarnation,
                 member.zone,
@@ -193,7 +193,7 @@
             self._reports_by_zone[report.zone] = (reported_ms, report)
 
     def _state(
-        self, join: EntryJoin, contact: Contact, now_ms: int
+        self, join: MemberJoin, contact: Contact, now_ms: int
     ) -> MemberState:
         if not contact.is_known:
             return MemberState.JOINING
@@ -206,7 +206,9 @@
             return MemberState.LEAVING
         return MemberState.LIVE
 
-    def _is_near(self, join: EntryJoin, contact: Contact, now_ms: int) -> bool:
+    def _is_near(
+        self, join: MemberJoin, contact: Contact, now_ms: int
+    ) -> bool:
         if now_ms - contact.two_way_ms <= self._bound_ms(join):
             return True
         if join.zone == self._identity.zone:
@@ -216,13 +218,13 @@
         return now_ms - contact.relayed_ms <= RELAYED_SUSPECT_AFTER_MS
 
     def _is_one_way(
-        self, join: EntryJoin, contact: Contact, now_ms: int
+        self, join: MemberJoin, contact: Contact, now_ms: int
     ) -> bool:
         bound_ms = self._bound_ms(join)
         is_heard = now_ms - contact.heard_ms <= bound_ms
         return is_heard and now_ms - contact.reached_ms > bound_ms
 
-    def _bound_ms(self, join: EntryJoin) -> int:
+    def _bound_ms(self, join: MemberJoin) -> int:
         if join.zone == self._identity.zone:
             return SUSPECT_AFTER_MS
         return REMOTE_SUSPECT_AFTER_MS
--- a/src/magnoliapitch/membership/topology.py
+++ b/src/magnoliapitch/membership/topology.py
@@ -16,13 +16,13 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from magnoliapitch.journal.record import EntryJoin
+    from magnoliapitch.journal.record import MemberJoin
 
 
 REMOTE_LINKS = 3
 
 
-def linked_zones(own: EntryJoin, zones: Collection[str]) -> tuple[str, ...]:
+def linked_zones(own: MemberJoin, zones: Collection[str]) -> tuple[str, ...]:
     """Return the other zones that an instance keeps a link to."""
     others = sorted(zone for zone in set(zones) if zone != own.zone)
     if not others:
@@ -35,10 +35,10 @@
 
 
 def linked_members(
-    own: EntryJoin,
-    members: Collection[EntryJoin],
+    own: MemberJoin,
+    members: Collection[MemberJoin],
     failing: Collection[str],
-) -> tuple[EntryJoin, ...]:
+) -> tuple[MemberJoin, ...]:
     """Return the members to exchange heartbeats with.
 
     :param failing: incarnations that did not answer; others of their zone
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
@@ -63,7 +63,7 @@
         self._clock = clock
         self._zone_members = ZoneMembers(identity.zone)
         self._lock = threading.RLock()
-        self._pending_by_unit: dict[str, PendingEntry] = {}
+        self._pending_by_unit: dict[str, PendingRecordEntry] = {}
         self._owned_since_ms_by_claim: dict[tuple[str, int], int] = {}
         self._release_started_ms_by_unit: dict[str, int] = {}
         self._members: frozenset[str] = frozenset()
@@ -89,7 +89,7 @@
 
         Callers must not modify the result.
         """
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             if self._owned_offset != state.next_offset:
                 self._owned_offset = state.next_offset
                 self._owned_by_unit = {
@@ -185,7 +185,7 @@
         return read_ms is not None and now_ms - read_ms <= LOG_MAX_AGE_MS
 
     def _rebalance(self, now_ms: int) -> None:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             claims_by_unit = dict(state.claims_by_unit)
         for role in UNIT_ROLES:
             units = {
--- a/src/magnoliapitch/ownership/job_mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
@@ -42,7 +42,7 @@
         # Offset of the member's newest presence in the log, and local time at
         # which this instance first saw it.
         self._presence_by_incarnation: dict[str, tuple[int, int]] = {}
-        self._pending_by_job: dict[str, PendingEntry] = {}
+        self._pending_by_job: dict[str, PendingRecordEntry] = {}
 
     def step(self) -> int:
         """Append moves of the jobs that may be moved.
@@ -57,7 +57,7 @@
             for job_id, pending in self._pending_by_job.items()
             if pending.outcome is None
         }
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             self._update_presence(state, now_ms)
             moves = self._plan_moves(state, racks, now_ms) if racks else []
         read_ms = self._journal.last_caught_up_ms
--- a/src/magnoliapitch/ownership/presence_lease.py
+++ b/src/magnoliapitch/ownership/presence_lease.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.catalogue.entry import ZoneCutAction
-from magnoliapitch.journal.record import EntryPresence
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.ownership.fence import CLOCK_DRIFT_DIVISOR
 from magnoliapitch.worker.lease import LEASE_TTL_MAX_MS
 
@@ -22,7 +22,7 @@
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
 
 
 CHECK_INTERVAL_MS = 1_000
@@ -65,7 +65,7 @@
         self._incarnation = incarnation
         self._journal = journal
         self._clock = clock
-        self._pending: PendingEntry | None = None
+        self._pending: PendingRecordEntry | None = None
         self._sent_ms = 0
         self._confirmed_ms: int | None = None
 
@@ -81,7 +81,7 @@
         if self._pending is None and self._is_due(now_ms):
             self._sent_ms = now_ms
             self._pending = self._journal.enqueue(
-                EntryPresence(self._incarnation)
+                MemberPresence(self._incarnation)
             )
         return CHECK_INTERVAL_MS
 
@@ -90,7 +90,7 @@
 
         :param now_ms: local monotonic time.
         """
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(entry_name)
         if versioned is None:
             return True
@@ -116,7 +116,7 @@
             and now_ms - self._sent_ms < PRESENCE_INTERVAL_MS
         ):
             return False
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             return any(
                 versioned.entry.on_zone_cut is ZoneCutAction.MOVE
                 for versioned in state.catalogue_by_name.values()
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -167,7 +167,7 @@
         )
 
     def _recorded_intent(self, key: str) -> RequestIntent | None:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             return state.intents_by_key.get(key)
 
     def _append_intent(
--- a/src/magnoliapitch/request/dispatch_fence.py
+++ b/src/magnoliapitch/request/dispatch_fence.py
@@ -78,7 +78,7 @@
         return usable
 
     def _owned_claims(self) -> dict[str, Claim]:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             offset = state.next_offset
         known = self._owned_cache
         if known is None or known.offset != offset:
@@ -100,7 +100,7 @@
         """Return how long a new claim must wait for the former owner."""
         if claim.epoch == 1:
             return 0
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             longest_request_ms = max(
                 (
                     versioned.entry.patience_ms
@@ -125,7 +125,7 @@
         # nobody can take them over.
         if not neighbours:
             return True
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             next_offset = state.next_offset
         live_neighbours = [
             peer
--- a/src/magnoliapitch/request/peer_selector.py
+++ b/src/magnoliapitch/request/peer_selector.py
@@ -117,7 +117,7 @@
             for server in self._fleet.of_role(InstanceRole.BACKEND_SERVER)
             if server.state is InstanceState.LIVE
         }
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             owner_by_unit = {
                 unit: state.claims_by_unit[unit].incarnation
                 for unit in app_by_unit
--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -207,7 +207,7 @@
         return self._dispatcher.dispatch(routed)
 
     def _find_entry(self, name: str) -> Result[CatalogueEntry, Failure]:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(name)
         if versioned is None:
             return Err(self._unknown_entry(name))
--- a/src/magnoliapitch/standin/demo.py
+++ b/src/magnoliapitch/standin/demo.py
@@ -118,7 +118,7 @@
 
     def _is_serving(self, node: EntryNode) -> bool:
         shape = self._serving.cluster.shape
-        with node.core.journal.reading() as state:
+        with node.core.journal.locked_state() as state:
             return (
                 node.core.is_ready()
                 and len(state.claims_by_unit) == 2 * len(shape.zones)
--- a/tests/api/test_job_advice.py
+++ b/tests/api/test_job_advice.py
@@ -69,7 +69,7 @@
     core = running.cell.entries[0].core
 
     def is_claimed() -> bool:
-        with core.journal.reading() as state:
+        with core.journal.locked_state() as state:
             units = {claim.unit for claim in state.claims_by_unit.values()}
         return len(units) >= 2
 
--- a/tests/history/simulation.py
+++ b/tests/history/simulation.py
@@ -46,7 +46,7 @@
     import numpy as np
 
     from magnoliapitch.journal.log import LogSlice
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_entry import PendingRecordEntry
     from magnoliapitch.membership.instance import InstanceInfo
     from magnoliapitch.verdict import Failure
     from magnoliapitch.worker.lease import LeaseGrant
@@ -211,7 +211,7 @@
         self.delayed_calls: list[DelayedCall] = []
         self.appended_ms: list[int] = []
         self._offset_by_instance_id: dict[str, int] = {}
-        self.pending: list[tuple[PendingEntry, JobSpec]] = []
+        self.pending: list[tuple[PendingRecordEntry, JobSpec]] = []
         self.events: list[Event] = [
             WorkerCapacityReported(0, info.instance_id, info.capacity)
             for info in self.cell.instance_list.by_id.values()
@@ -346,7 +346,7 @@
 
     def all_jobs_done(self) -> bool:
         core = next(iter(self.instances_by_id.values())).core
-        with core.journal.reading() as state:
+        with core.journal.locked_state() as state:
             return all(job.is_done for job in state.jobs_by_id.values())
 
     def history(self) -> list[Event]:
@@ -368,7 +368,7 @@
 
     def _record_offset(self, name: str) -> None:
         journal = self.instances_by_id[name].core.journal
-        with journal.reading() as state:
+        with journal.locked_state() as state:
             versions = tuple(
                 (key, item.version)
                 for key, item in sorted(state.catalogue_by_name.items())
--- a/tests/history/test_takeover.py
+++ b/tests/history/test_takeover.py
@@ -38,7 +38,7 @@
 
 def owner_of(simulation: Simulation) -> str:
     journal = next(iter(simulation.instances_by_id.values())).core.journal
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         claim = state.claims_by_unit[RACK]
     for name, instance in simulation.instances_by_id.items():
         if instance.core.identity.incarnation == claim.incarnation:
@@ -138,7 +138,7 @@
         if not instance.environment.is_log_unreachable
     }
     journal = next(iter(current.values())).core.journal
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         incarnation = state.claims_by_unit[RACK].incarnation
     for name, instance in simulation.instances_by_id.items():
         if instance.core.identity.incarnation == incarnation:
--- a/tests/journal/test_appender.py
+++ b/tests/journal/test_appender.py
@@ -10,8 +10,8 @@
 from magnoliapitch.journal.appender import BATCH_MAX_BYTES
 from magnoliapitch.journal.appender import BATCH_MAX_ENTRIES
 from magnoliapitch.journal.appender import QUEUE_MAX_ENTRIES
-from magnoliapitch.journal.record import EntryPresence
 from magnoliapitch.journal.record import JobCancel
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.journal.snapshot import load_snapshot
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
@@ -32,9 +32,9 @@
 ) -> None:
     journal = Journal(log, "a", clock)
     log.answers_to_lose = 1
-    journal.enqueue(EntryPresence("a"))
+    journal.enqueue(MemberPresence("a"))
     journal.append_step()
-    journal.enqueue(EntryPresence("b"))
+    journal.enqueue(MemberPresence("b"))
     journal.append_step()
     journal.append_step()
     first, second, third = records_of(log)
@@ -47,27 +47,27 @@
 ) -> None:
     journal = Journal(log, "a", clock)
     log.answers_to_lose = 1
-    sent = journal.enqueue(EntryPresence("a"))
+    sent = journal.enqueue(MemberPresence("a"))
     journal.append_step()
-    queued = journal.enqueue(EntryPresence("b"))
+    queued = journal.enqueue(MemberPresence("b"))
     assert sent.wait(0).unwrap_err().verdict is Verdict.MAY_HAVE_RUN
     assert queued.wait(0).unwrap_err().verdict is Verdict.NOT_RUN
     for _ in range(3):
         journal.append_step()
     entries = [decode_record(item).entries for item in records_of(log)]
-    assert entries == [(EntryPresence("a"),)] * 2
+    assert entries == [(MemberPresence("a"),)] * 2
 
 
 def test_appender_requeues_the_entries_of_a_batch_that_the_log_refused(
     log: StandinLog, clock: ManualClock
 ) -> None:
     journal = Journal(log, "a", clock)
-    pending = journal.enqueue(EntryPresence("a"))
+    pending = journal.enqueue(MemberPresence("a"))
     log.down = True
     journal.append_step()
     assert pending.wait(0).unwrap_err().verdict is Verdict.NOT_RUN
     log.down = False
-    kept = journal.enqueue(EntryPresence("b"))
+    kept = journal.enqueue(MemberPresence("b"))
     journal.append_step()
     journal.follow_step()
     assert isinstance(kept.wait(0), Ok)
@@ -79,7 +79,7 @@
 ) -> None:
     journal = Journal(log, "a", clock)
     log.answers_to_lose = 1
-    pending = journal.enqueue(EntryPresence("a"))
+    pending = journal.enqueue(MemberPresence("a"))
     journal.append_step()
     log.down = True
     journal.append_step()
@@ -92,7 +92,7 @@
     journal = Journal(log, "a", clock)
     failure = not_run(FailureCode.INVALID, "too long")
     log.append = lambda data: Err(failure)  # type: ignore[method-assign]
-    pending = journal.enqueue(EntryPresence("a"))
+    pending = journal.enqueue(MemberPresence("a"))
     journal.append_step()
     assert pending.outcome == Err(failure)
     assert journal.appender.queued() == 0
@@ -103,7 +103,7 @@
 ) -> None:
     journal = Journal(log, "a", clock)
     for number in range(BATCH_MAX_ENTRIES + 1):
-        journal.enqueue(EntryPresence(str(number)))
+        journal.enqueue(MemberPresence(str(number)))
     journal.append_step()
     half = "x" * (BATCH_MAX_BYTES // 2)
     for _ in range(3):
@@ -119,8 +119,8 @@
 ) -> None:
     journal = Journal(log, "a", clock)
     for _ in range(QUEUE_MAX_ENTRIES):
-        journal.enqueue(EntryPresence("a"))
-    failure = journal.enqueue(EntryPresence("a")).wait(0).unwrap_err()
+        journal.enqueue(MemberPresence("a"))
+    failure = journal.enqueue(MemberPresence("a")).wait(0).unwrap_err()
     assert failure.code is FailureCode.OVERLOADED
     assert failure.verdict is Verdict.NOT_RUN
 
@@ -131,7 +131,7 @@
     journal = Journal(log, "a", clock, appends_per_s=20)
     end_ms = clock.now_ms() + 10_000
     while clock.now_ms() < end_ms:
-        journal.enqueue(EntryPresence("a"))
+        journal.enqueue(MemberPresence("a"))
         clock.advance(max(journal.append_step(), 1))
     assert 200 <= journal.appender.appends <= 211
     assert journal.appender.entries > journal.appender.appends
@@ -142,10 +142,10 @@
 ) -> None:
     writer = Journal(log, "a", clock)
     other = Journal(log, "b", clock)
-    confirmed = writer.enqueue(EntryPresence("a"))
+    confirmed = writer.enqueue(MemberPresence("a"))
     writer.append_step()
     log.answers_to_lose = 1
-    unconfirmed = writer.enqueue(EntryPresence("b"))
+    unconfirmed = writer.enqueue(MemberPresence("b"))
     writer.append_step()
     other.follow_step()
     state = load_snapshot(other.snapshot())
@@ -155,7 +155,7 @@
         failure = pending.wait(0).unwrap_err()
         assert failure.verdict is Verdict.MAY_HAVE_RUN
         assert failure.code is FailureCode.TRUNCATED
-    later = writer.enqueue(EntryPresence("c"))
+    later = writer.enqueue(MemberPresence("c"))
     writer.append_step()
     writer.follow_step()
     assert isinstance(later.wait(0), Ok)
--- a/tests/journal/test_job_move.py
+++ b/tests/journal/test_job_move.py
@@ -5,10 +5,10 @@
 from magnoliapitch.job.spec import JobSpec
 from magnoliapitch.journal.codec import encode_record
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.journal.record import EntryPresence
 from magnoliapitch.journal.record import JobMove
 from magnoliapitch.journal.record import JobSubmit
+from magnoliapitch.journal.record import MemberJoin
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.journal.record import MoveReason
 from magnoliapitch.journal.record import RecordEntry
 from magnoliapitch.journal.record import UnitClaim
@@ -18,10 +18,10 @@
 
 
 HISTORY: tuple[RecordEntry, ...] = (
-    EntryJoin("entry-1", "a", "norte", "10.0.0.1:1"),
+    MemberJoin("entry-1", "a", "norte", "10.0.0.1:1"),
     UnitClaim("rack", "norte", "a", 0),
     JobSubmit(JobSpec("job", "roster", 1, Resources(1_000)), "rack"),
-    EntryPresence("a"),
+    MemberPresence("a"),
 )
 
 
--- a/tests/journal/test_replication_faults.py
+++ b/tests/journal/test_replication_faults.py
@@ -21,7 +21,7 @@
 from magnoliapitch.journal import encode_record
 from magnoliapitch.journal.exceptions import DamagedRecordError
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.journal.pending_entry import PendingEntry
+from magnoliapitch.journal.pending_entry import PendingRecordEntry
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.snapshot import state_digest
@@ -48,7 +48,7 @@
     """Enqueued change of the catalogue, identified by its unique owner."""
 
     owner: str
-    pending: PendingEntry
+    pending: PendingRecordEntry
     core: EntryCore
 
 
@@ -88,7 +88,7 @@
     def put(self, name: str, entry: str, expected: int | None) -> None:
         journal = self.group.cores[name].journal
         owner = f"w{len(self.writes)}"
-        with journal.reading() as state:
+        with journal.locked_state() as state:
             found = state.catalogue_by_name.get(entry)
         version = expected if expected is not None else 0
         if expected is None and found is not None:
@@ -152,7 +152,7 @@
     def check(self) -> None:
         for core in self.group.cores.values():
             name = core.identity.incarnation
-            with core.journal.reading() as state:
+            with core.journal.locked_state() as state:
                 digest = state_digest(state)
                 versions = {
                     entry: found.version
--- a/tests/journal/test_snapshot.py
+++ b/tests/journal/test_snapshot.py
@@ -12,10 +12,10 @@
 from magnoliapitch.journal import retention
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
-from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.journal.record import EntryLeave
 from magnoliapitch.journal.record import JobCancel
 from magnoliapitch.journal.record import JobSubmit
+from magnoliapitch.journal.record import MemberJoin
+from magnoliapitch.journal.record import MemberLeave
 from magnoliapitch.journal.record import RequestIntent
 from magnoliapitch.journal.record import SnapshotPart
 from magnoliapitch.journal.snapshot import PART_MAX_BYTES
@@ -45,13 +45,13 @@
 
 
 def digest_of(journal: Journal) -> str:
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         return state_digest(state)
 
 
 def joined_journal(log: StandinLog, clock: ManualClock, name: str) -> Journal:
     journal = Journal(log, name, clock)
-    journal.enqueue(EntryJoin(name, name, "zone", "address"))
+    journal.enqueue(MemberJoin(name, name, "zone", "address"))
     journal.append_step()
     journal.follow_step()
     return journal
@@ -155,7 +155,7 @@
     cold_journal.follow_step()
     cold_journal.follow_step()
     assert cold_journal.next_offset == 7 + len(parts)
-    with cold_journal.reading() as loaded:
+    with cold_journal.locked_state() as loaded:
         assert loaded.intents_by_key == state.intents_by_key
         assert loaded.snapshot_offset == 7
 
@@ -202,7 +202,7 @@
     monkeypatch.setattr(retention, "EXPIRY_INTERVAL_RECORDS", 10)
     monkeypatch.setattr(retention, "MAX_DELETED_NAMES", 1)
     joined_journal(log, clock, "gone")
-    append(log, EntryLeave("gone"))
+    append(log, MemberLeave("gone"))
     append(log, JobSubmit(JobSpec("j", "e", 1, NO_RESOURCES), "rack"))
     append(log, JobSubmit(JobSpec("k", "e", 1, NO_RESOURCES), "rack"))
     append(log, JobCancel("j"))
@@ -213,7 +213,7 @@
         append(log, JobCancel("none"))
     journal = Journal(log, "b", clock)
     journal.follow_step()
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         assert state.marks_by_writer == {}
         assert state.members_by_incarnation == {}
         assert list(state.jobs_by_id) == ["k"]
@@ -222,7 +222,7 @@
         assert list(state.last_version_by_name) == ["y"]
     append(log, put("x"))
     journal.follow_step()
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         assert state.catalogue_by_name["x"].version == 3
 
 
@@ -240,10 +240,10 @@
     for _ in range(40):
         append(log, JobCancel("none"))
     journal.follow_step()
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         assert "w" not in state.marks_by_writer
         del state.jobs_by_id["j"]
     log.append(data)
     journal.follow_step()
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         assert state.jobs_by_id == {}
--- a/tests/journal/test_state_machine.py
+++ b/tests/journal/test_state_machine.py
@@ -39,7 +39,7 @@
     journal.append_step()
     journal.follow_step()
     assert pending.wait(0).unwrap().applied
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         assert state.next_offset == 2
         assert state.catalogue_by_name["seat-check"].version == 1
 
@@ -50,7 +50,7 @@
     log.append(b'{"v": 1, "entries": [{"kind": "of-tomorrow"}]}')
     journal = Journal(log, "a", ManualClock())
     journal.follow_step()
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         assert state.next_offset == 2
         assert state.skipped_records == 2
         assert state.catalogue_by_name == {}
@@ -65,7 +65,7 @@
     log.append(encode_record((CatalogueDelete("seat-check", 1),)))
     journal.append_step()
     journal.follow_step()
-    with journal.reading() as state:
+    with journal.locked_state() as state:
         assert state.next_offset == 3
         assert state.catalogue_by_name == {}
         assert state.last_version_by_name == {"seat-check": 2}
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -7,8 +7,8 @@
 from magnoliapitch.clock import MonotonicClock
 from magnoliapitch.journal import Journal
 from magnoliapitch.journal import decode_record
-from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.journal.record import EntryLeave
+from magnoliapitch.journal.record import MemberJoin
+from magnoliapitch.journal.record import MemberLeave
 from magnoliapitch.membership import Identity
 from magnoliapitch.membership import Membership
 from magnoliapitch.membership.instance import InstanceState
@@ -32,9 +32,9 @@
         return self.receive(beat)
 
 
-def joins_of(zones: int, per_zone: int) -> list[EntryJoin]:
+def joins_of(zones: int, per_zone: int) -> list[MemberJoin]:
     return [
-        EntryJoin(f"{zone}-{n}", f"{zone}-{n}", f"z{zone:02}", f"{zone}:{n}")
+        MemberJoin(f"{zone}-{n}", f"{zone}-{n}", f"z{zone:02}", f"{zone}:{n}")
         for zone in range(zones)
         for n in range(per_zone)
     ]
@@ -148,9 +148,9 @@
         entry
         for record in group.log.read(0, 10_000).unwrap().records
         for entry in decode_record(record.data).entries
-        if isinstance(entry, EntryLeave)
+        if isinstance(entry, MemberLeave)
     ]
-    assert leaves == [EntryLeave(lost.identity.incarnation)]
+    assert leaves == [MemberLeave(lost.identity.incarnation)]
     group.cores["c"] = lost
     group.run(2_000)
     assert lost.membership.is_superseded()
--- a/tests/membership/test_relay.py
+++ b/tests/membership/test_relay.py
@@ -11,7 +11,7 @@
 
 
 def digest_of(group: Group, name: str) -> str:
-    with group.cores[name].journal.reading() as state:
+    with group.cores[name].journal.locked_state() as state:
         return state_digest(state)
 
 
@@ -65,7 +65,7 @@
     group.run(5_000)
     assert core.is_ready()
     assert core.journal.next_offset >= before
-    with core.journal.reading() as state:
+    with core.journal.locked_state() as state:
         assert "x" in state.catalogue_by_name
 
 
--- a/tests/request/test_at_most_once.py
+++ b/tests/request/test_at_most_once.py
@@ -8,7 +8,7 @@
 
 from magnoliapitch.clock import ManualClock
 from magnoliapitch.journal.codec import encode_record
-from magnoliapitch.journal.record import EntryLeave
+from magnoliapitch.journal.record import MemberLeave
 from magnoliapitch.request.ticket import TICKET_TTL_MS
 from magnoliapitch.standin.backend import BackendFault
 from magnoliapitch.verdict import FailureCode
@@ -53,7 +53,7 @@
 
 def _remove_instance(cell: RequestCell, core: int) -> None:
     identity = cell.cores[core].identity
-    record = encode_record((EntryLeave(identity.incarnation),))
+    record = encode_record((MemberLeave(identity.incarnation),))
     cell.deployment.log.append(record)
     cell.cores.pop(core)
     cell.settle()
@@ -184,7 +184,7 @@
     scoped_key = f"{ENTRY}/k"
 
     def is_intent_applied() -> bool:
-        with cell.cores[1].journal.reading() as state:
+        with cell.cores[1].journal.locked_state() as state:
             return scoped_key in state.intents_by_key
 
     for _ in range(1_000):
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -53,7 +53,7 @@
 ) -> None:
     cell = make_cell()
     if code is FailureCode.INVALID:
-        with cell.cores[0].journal.reading() as state:
+        with cell.cores[0].journal.locked_state() as state:
             versioned = state.catalogue_by_name["seat-check"]
             state.catalogue_by_name[entry] = versioned._replace(
                 entry=versioned.entry._replace(app="")
@@ -171,7 +171,7 @@
     cell.put_entry("seat-check", 1, limits=Limits(queued=1))
     cell.settle()
     pool = cell.cores[0].router._pool
-    with cell.cores[0].journal.reading() as state:
+    with cell.cores[0].journal.locked_state() as state:
         entry = state.catalogue_by_name["seat-check"].entry
     deadline_ms = cell.clock.now_ms() + PATIENCE_MS
     assert pool.try_acquire(entry) is not None
