--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -30,7 +30,7 @@
     from magnoliapitch.job.channel import PlannedCall
     from magnoliapitch.job.channel import WorkerChannel
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingRecordEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.journal.state import JobRecord
     from magnoliapitch.ownership.presence_lease import PresenceLease
 
--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -13,7 +13,7 @@
 from result import Result
 
 from magnoliapitch.journal.codec import encode_batch
-from magnoliapitch.journal.pending_entry import PendingRecordEntry
+from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
 from magnoliapitch.verdict import Failure
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -31,7 +31,7 @@
     from magnoliapitch.journal.job_change import JobChange
     from magnoliapitch.journal.log import LogRecord
     from magnoliapitch.journal.log import PlatformLog
-    from magnoliapitch.journal.pending_entry import PendingRecordEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.journal.record import RecordEntry
     from magnoliapitch.journal.state_machine import RecordEntryOutcome
     from magnoliapitch.journal.state_machine import RecordOutcome
--- a/src/magnoliapitch/journal/snapshot_writer.py
+++ b/src/magnoliapitch/journal/snapshot_writer.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingRecordEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.journal.state import ClusterState
 
 
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingRecordEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
--- a/src/magnoliapitch/ownership/job_mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingRecordEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
--- a/src/magnoliapitch/ownership/presence_lease.py
+++ b/src/magnoliapitch/ownership/presence_lease.py
@@ -22,7 +22,7 @@
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingRecordEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
 
 
 CHECK_INTERVAL_MS = 1_000
--- a/tests/history/simulation.py
+++ b/tests/history/simulation.py
@@ -46,7 +46,7 @@
     import numpy as np
 
     from magnoliapitch.journal.log import LogSlice
-    from magnoliapitch.journal.pending_entry import PendingRecordEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.membership.instance import InstanceInfo
     from magnoliapitch.verdict import Failure
     from magnoliapitch.worker.lease import LeaseGrant
--- a/tests/journal/test_replication_faults.py
+++ b/tests/journal/test_replication_faults.py
@@ -21,7 +21,7 @@
 from magnoliapitch.journal import encode_record
 from magnoliapitch.journal.exceptions import DamagedRecordError
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.journal.pending_entry import PendingRecordEntry
+from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.snapshot import state_digest
