--- a/src/magnoliapitch/catalogue/entry.py
+++ b/src/magnoliapitch/catalogue/entry.py
@@ -67,9 +67,10 @@
     :param name: unique name, used by callers in their requests.
     :param owner: team whose quota the work uses.
     :param work_class: scheduling class of the work.
-    :param app: backend application that serves small requests, or empty.
+    :param app: backend application that serves small requests; empty if
+        there is none.
     :param limits: limits on the work.
-    :param patience_ms: milliseconds that a caller waits.
+    :param patience_ms: milliseconds that a caller waits for a response.
     :param idempotent: whether the work may be executed more than once.
     :param on_zone_cut: action on tasks in a zone that is cut off.
     :param move_after_ms: milliseconds before tasks of a zone that is cut
--- a/src/magnoliapitch/journal/appender.py
+++ b/src/magnoliapitch/journal/appender.py
@@ -134,7 +134,7 @@
             return 0
         self.appends += 1
         self.entries += len(batch.pending)
-        return self._handle_answer(batch, self._log.append(batch.data))
+        return self._handle_append_outcome(batch, self._log.append(batch.data))
 
     def resolve_applied(self, outcome: RecordOutcome) -> None:
         """Resolve the entries of an applied record of this writer.
@@ -214,21 +214,21 @@
             pending.append(self._queue.popleft())
         return tuple(pending)
 
-    def _handle_answer(
-        self, batch: Batch, answer: Result[int, Failure]
+    def _handle_append_outcome(
+        self, batch: Batch, outcome: Result[int, Failure]
     ) -> int:
         next_offset = self._next_offset()
         with self._condition:
             if self._batch is not batch:
                 return 0
-            if isinstance(answer, Ok):
+            if isinstance(outcome, Ok):
                 self._batch = None
-                self._offset_by_seq[batch.seq] = answer.ok_value
-                if answer.ok_value >= next_offset:
+                self._offset_by_seq[batch.seq] = outcome.ok_value
+                if outcome.ok_value >= next_offset:
                     return 0
                 self._remove_sent(batch.seq)
             else:
-                return self._handle_failure(batch, answer.err_value)
+                return self._handle_failure(batch, outcome.err_value)
         _resolve_unknown(batch.pending)
         return 0
 
--- a/src/magnoliapitch/journal/follower.py
+++ b/src/magnoliapitch/journal/follower.py
@@ -65,7 +65,7 @@
     snapshot from the log or from a peer.
 
     :param target: the state to bring up to date.
-    :ivar peer_source: the peers; nothing until it is set.
+    :ivar peer_source: the peers; ``None`` until it is set.
     :ivar oldest: lowest offset that the log retained at the last read.
     :ivar head: offset of the next append at the last read.
     :ivar is_log_unavailable: whether the last read failed.
@@ -168,22 +168,22 @@
     def _load_snapshot_from_peer(self, min_offset: int) -> bool:
         if self.peer_source is None:
             return False
-        answer = self.peer_source.snapshot(
+        outcome = self.peer_source.snapshot(
             max(min_offset, self._target.next_offset + 1)
         )
-        if isinstance(answer, Err):
+        if isinstance(outcome, Err):
             return False
-        state = load_snapshot(answer.ok_value)
+        state = load_snapshot(outcome.ok_value)
         return state is not None and self._target.install(state)
 
     def _read_from_peers(self) -> int:
         if self.peer_source is None:
             return RETRY_WAIT_MS
         previous_offset = self._target.next_offset
-        answer = self.peer_source.read_log(previous_offset, READ_MAX_RECORDS)
-        if not isinstance(answer, Err):
-            self._target.apply(answer.ok_value.records)
-            is_ahead = answer.ok_value.next_offset > previous_offset
+        outcome = self.peer_source.read_log(previous_offset, READ_MAX_RECORDS)
+        if not isinstance(outcome, Err):
+            self._target.apply(outcome.ok_value.records)
+            is_ahead = outcome.ok_value.next_offset > previous_offset
             if is_ahead and self._target.next_offset == previous_offset:
                 self._load_snapshot_from_peer(previous_offset)
         highest_known_offset = self.peer_source.highest_known_offset()
--- a/src/magnoliapitch/journal/handler/job.py
+++ b/src/magnoliapitch/journal/handler/job.py
@@ -52,15 +52,15 @@
     epoch = claim.epoch if claim else 0
     if epoch != move.epoch:
         return rejected(
-            f"the current epoch of {move.from_unit} is {epoch}, which is "
-            "not that of the move"
+            f"the current epoch of {move.from_unit} is {epoch}, not "
+            f"{move.epoch}"
         )
     if move.reason is MoveReason.ZONE_CUT:
         owner = _owner_present_after(state, claim, move.seen_offset)
         if owner:
             return rejected(
-                f"owner {owner} has a heartbeat in the log after the offset "
-                "of the move"
+                f"owner {owner} has a heartbeat in the log after offset "
+                f"{move.seen_offset}"
             )
     _add_open_tasks(state, job, -job.open_tasks)
     job.unit = move.to_unit
@@ -97,7 +97,8 @@
         return rejected(f"task {end.job_id}/{end.task} does not exist")
     if end.attempt != job.attempts_by_task.get(end.task, 0):
         return rejected(
-            f"attempt {end.attempt} is not the current one of the task"
+            f"attempt {end.attempt} of task {end.job_id}/{end.task} is not "
+            "the current one"
         )
     if job.ended_by_task.get(end.task) is TaskOutcome.FINISHED:
         return rejected(f"task {end.job_id}/{end.task} is already finished")
--- a/src/magnoliapitch/journal/handler/snapshot.py
+++ b/src/magnoliapitch/journal/handler/snapshot.py
@@ -35,13 +35,17 @@
     if current is None:
         if len(state.progress_by_snapshot) >= MAX_SNAPSHOTS_IN_PROGRESS:
             return rejected(
-                "too many snapshots are incomplete; the maximum is reached"
+                f"{MAX_SNAPSHOTS_IN_PROGRESS} snapshots are incomplete, which "
+                "is the maximum"
             )
         current = SnapshotProgress(
             part.offset, part.digest, 0, part.parts, offset
         )
     if (part.part, part.parts) != (current.next_part, current.parts):
-        return rejected(f"the next part must be {current.next_part}")
+        return rejected(
+            f"found part index {part.part} of {part.parts} parts, but the "
+            f"next one must be {current.next_part} of {current.parts}"
+        )
     if part.part + 1 >= part.parts:
         state.progress_by_snapshot.pop(key, None)
         state.snapshot_offset = part.offset
--- a/src/magnoliapitch/journal/http_log.py
+++ b/src/magnoliapitch/journal/http_log.py
@@ -1,7 +1,7 @@
 """Client of a log service over HTTP and JSON.
 
-``POST /append`` with ``{"data": TEXT}`` answers ``{"offset": N}``;
-``GET /read?from=N&limit=N&wait_ms=N`` answers
+``POST /append`` with ``{"data": TEXT}`` returns ``{"offset": N}``;
+``GET /read?from=N&limit=N&wait_ms=N`` returns
 ``{"records": [{"offset": N, "data": TEXT}], "oldest": N, "head": N}``.
 """
 
@@ -30,29 +30,29 @@
 Offset = Annotated[int, Field(ge=0, lt=2**63)]
 
 
-class Appended(TypedDict):
+class AppendResponse(TypedDict):
     """Response body of an append."""
 
     offset: Offset
 
 
-class ReadRecord(TypedDict):
+class RecordInResponse(TypedDict):
     """Record in the response body of a read."""
 
     offset: Offset
     data: str
 
 
-class ReadAnswer(TypedDict):
+class ReadResponse(TypedDict):
     """Response body of a read."""
 
-    records: list[ReadRecord]
+    records: list[RecordInResponse]
     oldest: Offset
     head: Offset
 
 
-_APPENDED = TypeAdapter(Appended)
-_READ = TypeAdapter(ReadAnswer)
+_APPEND_RESPONSE = TypeAdapter(AppendResponse)
+_READ_RESPONSE = TypeAdapter(ReadResponse)
 
 
 class HttpLog:
@@ -69,11 +69,13 @@
 
         :param data: UTF-8 text.
         """
-        answer = self._client.call("POST", "/append", {"data": data.decode()})
-        appended = answer.and_then(
-            lambda value: validate_response(_APPENDED, value)
+        response = self._client.call(
+            "POST", "/append", {"data": data.decode()}
         )
-        return appended.map(lambda found: found["offset"])
+        appended = response.and_then(
+            lambda value: validate_response(_APPEND_RESPONSE, value)
+        )
+        return appended.map(lambda body: body["offset"])
 
     def read(
         self, from_offset: int, limit: int, wait_ms: int = 0
@@ -84,24 +86,24 @@
         :param wait_ms: milliseconds that the service may wait for a first
             record.
         """
-        answer = self._client.call(
+        response = self._client.call(
             "GET",
             f"/read?from={from_offset}&limit={limit}&wait_ms={wait_ms}",
             server_wait_ms=wait_ms,
         )
-        return answer.and_then(_slice_from)
+        return response.and_then(_slice_from)
 
 
 def _slice_from(value: object) -> Result[LogSlice, Failure]:
-    answer = validate_response(_READ, value)
-    return answer.map(
-        lambda read: LogSlice(
+    response = validate_response(_READ_RESPONSE, value)
+    return response.map(
+        lambda body: LogSlice(
             tuple(
                 LogRecord(item["offset"], item["data"].encode())
-                for item in read["records"]
+                for item in body["records"]
             ),
-            read["oldest"],
-            read["head"],
+            body["oldest"],
+            body["head"],
         )
     )
 
--- a/src/magnoliapitch/journal/job_change.py
+++ b/src/magnoliapitch/journal/job_change.py
@@ -1,4 +1,4 @@
-"""Jobs and tasks that applied records have changed."""
+"""Changes of jobs and tasks by applied records."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class JobChange(NamedTuple):
-    """Task or job that a record has changed.
+    """Change of a job or of one of its tasks by an applied record.
 
     :param task: index of the task within its job; -1 for the whole job.
     """
@@ -26,7 +26,7 @@
 
 
 class JobChangeFeed:
-    """Collects changed jobs and tasks without duplicates."""
+    """Collects the changes of jobs and tasks without duplicates."""
 
     def __init__(self) -> None:
         self._changes: dict[JobChange, None] = {}
--- a/src/magnoliapitch/journal/journal.py
+++ b/src/magnoliapitch/journal/journal.py
@@ -94,7 +94,10 @@
 
     @contextmanager
     def locked_state(self) -> Iterator[ClusterState]:
-        """Lock the state for reading; the caller must not block inside."""
+        """Yield the state under the lock; the caller only reads it.
+
+        The caller must not block while it holds the lock.
+        """
         with self._lock:
             yield self._state
 
@@ -188,7 +191,7 @@
         return True
 
     def take_job_changes(self) -> tuple[JobChange, ...]:
-        """Return the jobs and tasks that changed since the last call.
+        """Remove and return the changes of jobs and tasks, oldest first.
 
         Changes by :meth:`install` are not included; it may change the
         whole state.
@@ -246,10 +249,10 @@
 
 def _log_rejections(outcome: RecordOutcome) -> None:
     """Log an event for each record entry that was not applied."""
-    for number, entry in enumerate(outcome.outcomes):
-        if entry.applied:
+    for number, entry_outcome in enumerate(outcome.outcomes):
+        if entry_outcome.applied:
             continue
-        reason = entry.reason[:REASON_MAX_CHARS]
+        reason = entry_outcome.reason[:REASON_MAX_CHARS]
         if not outcome.writer:
             log_event(
                 "record-rejected",
--- a/src/magnoliapitch/journal/peer_source.py
+++ b/src/magnoliapitch/journal/peer_source.py
@@ -34,5 +34,5 @@
 
         A state that has reached it may be served.
 
-        :return: nothing if no reachable peer has a complete history.
+        :return: ``None`` if no reachable peer has a complete history.
         """
--- a/src/magnoliapitch/journal/pending_record_entry.py
+++ b/src/magnoliapitch/journal/pending_record_entry.py
@@ -31,7 +31,7 @@
     :ivar entry: the record entry.
     :ivar data: the encoded record entry.
     :ivar outcome: result of applying the entry or the failure to append
-        it; nothing while neither is known.
+        it; ``None`` while neither is known.
     """
 
     def __init__(
--- a/src/magnoliapitch/journal/snapshot.py
+++ b/src/magnoliapitch/journal/snapshot.py
@@ -60,7 +60,7 @@
 def load_snapshot(snapshot: StateSnapshot) -> ClusterState | None:
     """Decode a snapshot.
 
-    :return: nothing if the snapshot is damaged, has another format
+    :return: ``None`` if the snapshot is damaged, has another format
         version, or its offset is not that of its state.
     """
     if xxhash.xxh3_128_hexdigest(snapshot.state) != snapshot.digest:
--- a/src/magnoliapitch/journal/snapshot_writer.py
+++ b/src/magnoliapitch/journal/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Periodic snapshots, before the log drops the records they cover."""
+"""Appends snapshots before the log drops the records that they cover."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 SNAPSHOT_INTERVAL_RECORDS = 20_000
 CHECK_INTERVAL_MS = 1_000
-# Rank N waits until the need exceeds 1 by N times the first share, at most
-# by the second one.
-EXTRA_NEED_SHARE_PER_RANK = 0.1
-EXTRA_NEED_MAX_SHARE = 0.5
+# The member of rank N writes a snapshot from the urgency 1 + N * the first
+# value on, but at the latest from 1 + the second value on.
+EXTRA_URGENCY_PER_RANK = 0.1
+MAX_EXTRA_URGENCY = 0.5
 
 
 class SnapshotWriter:
@@ -52,10 +52,10 @@
         if not self._journal.is_complete or self._is_writing():
             return CHECK_INTERVAL_MS
         with self._journal.locked_state() as state:
-            need = self._need(state)
+            urgency = self._urgency(state)
             rank = _rank(state, self._journal.incarnation)
-        if rank is not None and need >= 1 + min(
-            rank * EXTRA_NEED_SHARE_PER_RANK, EXTRA_NEED_MAX_SHARE
+        if rank is not None and urgency >= 1 + min(
+            rank * EXTRA_URGENCY_PER_RANK, MAX_EXTRA_URGENCY
         ):
             self._write()
         return CHECK_INTERVAL_MS
@@ -63,20 +63,20 @@
     def _is_writing(self) -> bool:
         return any(part.outcome is None for part in self._parts)
 
-    def _need(self, state: ClusterState) -> float:
+    def _urgency(self, state: ClusterState) -> float:
         """Return how urgent a snapshot is; it is due from 1 on.
 
-        The need grows with the records since the last snapshot. It is 1
+        The urgency grows with the records since the last snapshot. It is 1
         after ``snapshot_interval_records``, or once these records are
         half of those that the log retains, whichever comes first.
         """
         lag = state.next_offset - state.snapshot_offset
-        need = lag / self._snapshot_interval_records
+        urgency = lag / self._snapshot_interval_records
         follower = self._journal.follower
         if follower.oldest > 0:
             retained = max(follower.head - follower.oldest, 1)
-            need = max(need, 2 * lag / retained)
-        return need
+            urgency = max(urgency, 2 * lag / retained)
+        return urgency
 
     def _write(self) -> None:
         snapshot = self._journal.snapshot()
@@ -91,7 +91,7 @@
 
 
 def _rank(state: ClusterState, incarnation: str) -> int | None:
-    """Return the rank of a live member, from 0; nothing if it is none."""
+    """Return the rank of a live member, from 0, ``None`` for any other."""
     live = [
         name
         for name, member in state.members_by_incarnation.items()
--- a/src/magnoliapitch/journal/state.py
+++ b/src/magnoliapitch/journal/state.py
@@ -29,7 +29,7 @@
     """Newest claim on a unit: a rack or a group of backend servers.
 
     :param incarnation: the owner; empty after a release.
-    :param epoch: fencing number, increased by each claim on the unit.
+    :param epoch: fencing token, increased by each claim on the unit.
     :param offset: offset of the claim or of its release.
     :param predecessors: earlier owners that did not release the unit and
         have not left, and so may still act as its owner.
--- a/src/magnoliapitch/journal/token_bucket.py
+++ b/src/magnoliapitch/journal/token_bucket.py
@@ -22,7 +22,7 @@
         self._burst = burst
         self._clock = clock
         self._tokens = burst
-        self._filled_ms = clock.now_ms()
+        self._refilled_ms = clock.now_ms()
 
     def take(self) -> int:
         """Take one token if one is available.
@@ -31,9 +31,9 @@
             next one is available, at least 1.
         """
         now_ms = self._clock.now_ms()
-        added = (now_ms - self._filled_ms) * self.rate_per_s / 1000
+        added = (now_ms - self._refilled_ms) * self.rate_per_s / 1000
         self._tokens = min(self._burst, self._tokens + added)
-        self._filled_ms = now_ms
+        self._refilled_ms = now_ms
         if self._tokens >= 1:
             self._tokens -= 1
             return 0
--- a/tests/journal/test_replication_faults.py
+++ b/tests/journal/test_replication_faults.py
@@ -41,7 +41,7 @@
 NAMES = ("a", "b", "c")
 ENTRIES = ("x", "y")
 SNAPSHOT_INTERVAL_RECORDS = 12
-HEAL_MS = 40_000
+CONVERGENCE_MAX_MS = 40_000
 
 
 class Write(NamedTuple):
@@ -99,7 +99,7 @@
         pending = journal.enqueue(change)
         self.writes.append(Write(owner, pending, self.group.cores[name]))
 
-    def operate(self, entry: str, version: int) -> None:
+    def operator_put(self, entry: str, version: int) -> None:
         change = CataloguePut(
             CatalogueEntry(entry, "operator", WorkClass.BATCH), version
         )
@@ -140,7 +140,7 @@
             core.journal.is_complete and core.journal.next_offset >= oldest
             for core in self.group.cores.values()
         )
-        self.run(HEAL_MS)
+        self.run(CONVERGENCE_MAX_MS)
         for core in self.group.cores.values():
             core.journal.follow_step()
         self.check()
@@ -218,7 +218,7 @@
 RUN = st.tuples(st.just("run"), st.sampled_from((500, 500, 1_000, 4_000)))
 PUT = st.tuples(st.just("put"), INSTANCE, ENTRY, st.sampled_from((None, 0)))
 FAULT = st.one_of(
-    st.tuples(st.just("operate"), ENTRY, st.integers(0, 3)),
+    st.tuples(st.just("operator put"), ENTRY, st.integers(0, 3)),
     st.tuples(st.just("delete"), ENTRY),
     st.tuples(st.just("damage"), st.text(max_size=20)),
     st.tuples(st.just("lose"), INSTANCE, st.integers(1, 3)),
