--- a/src/magnoliapitch/job/__init__.py
+++ b/src/magnoliapitch/job/__init__.py
@@ -1,4 +1,7 @@
-"""Jobs, which are sets of identical tasks that run on workers."""
+"""Jobs, which are sets of identical tasks that run on workers.
+
+Jobs of several steps are in :mod:`magnoliapitch.workload`.
+"""
 
 from __future__ import annotations
 
--- a/src/magnoliapitch/job/attempt.py
+++ b/src/magnoliapitch/job/attempt.py
@@ -17,6 +17,9 @@
 class TaskKey(NamedTuple):
     """Identity of a task, the same for all its attempts.
 
+    Tasks of jobs with steps have another key, that of
+    :mod:`magnoliapitch.workload.job`.
+
     :param task: number of the task in its job, from 0.
     """
 
@@ -42,7 +45,7 @@
 class Attempt:
     """An attempt that may run on a worker, or whose end is not recorded.
 
-    :ivar task: scheduler's request for the task, whose ``task_id`` is the
+    :ivar request: scheduler's request for the task, whose ``task_id`` is the
         lease id of the attempt.
     :ivar reserved: resources that are reserved on the worker.
     :ivar payload: opaque input of the task.
@@ -58,22 +61,22 @@
         "key",
         "outcome",
         "payload",
+        "request",
         "reserved",
         "state",
-        "task",
         "worker_id",
     )
 
     def __init__(
         self,
         key: AttemptKey,
-        task: TaskRequest,
+        request: TaskRequest,
         worker_id: str,
         reserved: Resources,
         payload: str = "",
     ) -> None:
         self.key = key
-        self.task = task
+        self.request = request
         self.worker_id = worker_id
         self.reserved = reserved
         self.payload = payload
--- a/src/magnoliapitch/job/backlog.py
+++ b/src/magnoliapitch/job/backlog.py
@@ -54,10 +54,10 @@
         heapq.heappush(self._scheduled_tasks, (due_ms, key))
 
     def retry(self, key: TaskKey, job: JobRecord, now_ms: int) -> None:
-        """Queue a task whose attempt has ended for submission again.
+        """Queue a task for another attempt after one has ended.
 
         After a failure the delay grows exponentially with the number of
-        attempts; any other task is due at once.
+        attempts; after any other end the task is due at once.
 
         :param now_ms: local monotonic time, in milliseconds.
         """
--- a/src/magnoliapitch/job/channel.py
+++ b/src/magnoliapitch/job/channel.py
@@ -1,4 +1,4 @@
-"""Exchange of a rack's owner with one worker, one call at a time."""
+"""Calls of a rack's owner to one worker, one at a time."""
 
 from __future__ import annotations
 
@@ -57,9 +57,9 @@
 
 
 class WorkerChannel:
-    """State of the exchange with one worker of an owned rack.
+    """Attempts on one worker of an owned rack, and the calls to it.
 
-    At most one call is in flight. What the worker has yet to be told is
+    At most one call is in flight. Requests that no call has sent yet are
     kept in the ``pending_*`` attributes.
 
     :param may_keep_tasks: returns whether leases of a catalogue entry's
@@ -69,8 +69,8 @@
     :ivar pending_starts: lease ids of placed attempts to grant.
     :ivar pending_stops: ids of leases to end.
     :ivar pending_checkpoints: ids of leases to checkpoint and end.
-    :ivar pending_throttles_by_lease: processor limits to set, in thousandths
-        of a core.
+    :ivar pending_throttles_by_lease: CPU limits to set, in thousandths of a
+        core.
     :ivar in_flight: call that has no reply yet.
     :ivar consecutive_failures: number of calls that failed in a row.
     """
@@ -181,11 +181,11 @@
         boot_id = view.boot_id if view else ""
         attempt.mark_sent(boot_id, self.fence.grant_expiry_ms())
         return LeaseGrant(
-            attempt.task.task_id,
+            attempt.request.task_id,
             self.fence.owner.epoch,
             attempt.expires_at_ms,
             resources=attempt.reserved,
-            entry=attempt.task.entry,
+            entry=attempt.request.entry,
             payload=attempt.payload,
             boot_id=boot_id,
         )
@@ -199,7 +199,7 @@
         expires_at_ms = self.fence.renewal_expiry_ms()
         lease_ids = [claim.lease_id]
         for lease_id, attempt in self.attempts_by_lease.items():
-            if not self._may_keep_tasks(attempt.task.entry, now_ms):
+            if not self._may_keep_tasks(attempt.request.entry, now_ms):
                 continue
             if attempt.state in (AttemptState.LISTED, AttemptState.ENDED):
                 attempt.extend(expires_at_ms)
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -65,8 +65,8 @@
         and renew leases for.
     :param runner: makes the calls to workers, by default at once in the
         thread that calls :meth:`step`.
-    :param lease_ttl_ms: duration of task leases, in milliseconds; at most
-        the longest that all instances assume.
+    :param lease_ttl_ms: duration of task leases, in milliseconds; reduced
+        to ``LEASE_TTL_MAX_MS``, the longest that other instances assume.
     """
 
     def __init__(
@@ -366,22 +366,22 @@
             if attempt_key is None or channel is None:
                 continue
             task_key = TaskKey(attempt_key.job_id, attempt_key.task)
-            task = self._backlog.pop(task_key)
-            if task is None:
+            request = self._backlog.pop(task_key)
+            if request is None:
                 continue
             attempt = Attempt(
                 attempt_key,
-                task,
+                request,
                 placement.worker_id,
                 placement.reserved,
                 self._payload(attempt_key.job_id),
             )
             self._tracker.add(channel, attempt)
-            waited_ms = now_ms - task.submitted_ms
-            self._metrics.observe("task_wait", waited_ms, task.work_class)
+            waited_ms = now_ms - request.submitted_ms
+            self._metrics.observe("task_wait", waited_ms, request.work_class)
             is_releasing = self._is_releasing(channel)
             if channel.accepts_starts and not is_releasing:
-                channel.pending_starts[task.task_id] = None
+                channel.pending_starts[request.task_id] = None
             else:
                 self._tracker.requeue(channel, attempt, now_ms)
 
--- a/src/magnoliapitch/job/spec.py
+++ b/src/magnoliapitch/job/spec.py
@@ -80,12 +80,12 @@
 
 
 def lease_id_of(key: AttemptKey) -> str:
-    """Return the lease id of a task attempt."""
+    """Return the id of the lease under which an attempt runs."""
     return f"{key.job_id}/{key.task}/{key.attempt}"
 
 
 def parse_lease_id(lease_id: str) -> AttemptKey | None:
-    """Return the task attempt of a lease id, ``None`` for other leases."""
+    """Return the attempt of a lease id, ``None`` if it names no attempt."""
     match = _LEASE_ID.fullmatch(lease_id)
     if match is None:
         return None
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -70,7 +70,7 @@
     def lease_ids(self) -> tuple[str, ...]:
         """Return the lease ids of all tracked attempts."""
         return tuple(
-            attempt.task.task_id
+            attempt.request.task_id
             for attempt_by_number in self._attempts_by_task.values()
             for attempt in attempt_by_number.values()
         )
@@ -81,7 +81,7 @@
             attempt.task_key, {}
         )
         attempt_by_number[attempt.key.attempt] = attempt
-        channel.attempts_by_lease[attempt.task.task_id] = attempt
+        channel.attempts_by_lease[attempt.request.task_id] = attempt
 
     def has_unconfirmed_grant(self, channel: WorkerChannel) -> bool:
         """Return whether a grant is unsent or not confirmed by the worker."""
@@ -122,10 +122,10 @@
         is_not_run: bool,
         now_ms: int,
     ) -> None:
-        """Queue attempts again whose start call failed without effect.
+        """Requeue the tasks of a start call that failed without effect.
 
-        Otherwise they count as running until a view of the worker tells
-        more or their leases have expired.
+        If it may have had an effect, the attempts count as running until
+        a view of the worker shows their state or their leases expire.
 
         :param is_not_run: whether the call certainly did not take effect.
         """
@@ -137,7 +137,7 @@
                 self.requeue(channel, attempt, now_ms)
 
     def requeue_unsent(self, channel: WorkerChannel, now_ms: int) -> None:
-        """Queue every placed attempt again whose grant was not sent."""
+        """Requeue the tasks of placed attempts whose grant was not sent."""
         lease_ids, channel.pending_starts = tuple(channel.pending_starts), {}
         for lease_id in lease_ids:
             attempt = channel.attempts_by_lease.get(lease_id)
@@ -147,7 +147,7 @@
     def requeue_without_presence(
         self, channel: WorkerChannel, now_ms: int
     ) -> None:
-        """Queue placed attempts again that this owner may not grant now.
+        """Requeue tasks that this owner has placed but may not grant now.
 
         Its presence lease does not cover their catalogue entry.
         """
@@ -161,13 +161,13 @@
     def requeue(
         self, channel: WorkerChannel, attempt: Attempt, now_ms: int
     ) -> None:
-        """Queue the task of an attempt again that certainly never started.
+        """Requeue the task of an attempt that certainly never started.
 
         :param now_ms: local monotonic time from which the task may be placed
             again, in milliseconds.
         """
         self._remove(channel, attempt)
-        lease_id = attempt.task.task_id
+        lease_id = attempt.request.task_id
         self._scheduler.record_task_end(lease_id, TaskOutcome.LOST, now_ms)
         self._backlog.add_task(attempt.task_key, now_ms)
 
@@ -176,7 +176,7 @@
         for attempt in list(channel.attempts_by_lease.values()):
             self._remove(channel, attempt)
             if attempt.state is not AttemptState.ENDED:
-                lease_id = attempt.task.task_id
+                lease_id = attempt.request.task_id
                 self._scheduler.record_task_end(
                     lease_id, TaskOutcome.LOST, now_ms
                 )
@@ -227,7 +227,7 @@
             channel = channels_by_worker.get(attempt.worker_id)
             if channel is None or number >= recorded_attempts:
                 continue
-            channel.pending_stops[attempt.task.task_id] = None
+            channel.pending_stops[attempt.request.task_id] = None
             if attempt.state is AttemptState.ENDED:
                 self._remove(channel, attempt)
         if key not in self._attempts_by_task and not is_waiting:
@@ -271,7 +271,9 @@
             if lease.resources != attempt.reserved:
                 self._scheduler.record_resize(lease.lease_id, lease.resources)
             return
-        self._end(channel, attempt, _outcome_of(attempt.task, lease), now_ms)
+        self._end(
+            channel, attempt, _outcome_of(attempt.request, lease), now_ms
+        )
 
     def _observe_absent(
         self,
@@ -301,7 +303,9 @@
         now_ms: int,
     ) -> None:
         attempt.mark_ended(outcome)
-        self._scheduler.record_task_end(attempt.task.task_id, outcome, now_ms)
+        self._scheduler.record_task_end(
+            attempt.request.task_id, outcome, now_ms
+        )
         self._record_end(channel, attempt)
 
     def _record_end(self, channel: WorkerChannel, attempt: Attempt) -> None:
@@ -322,7 +326,7 @@
                 job is None or job.is_done or job.unit != channel.worker.unit
             )
         if is_over or recorded_attempts > attempt.key.attempt:
-            channel.pending_stops[attempt.task.task_id] = None
+            channel.pending_stops[attempt.request.task_id] = None
             self._remove(channel, attempt)
             self._backlog.add_task(key, 0)
             return
@@ -341,7 +345,7 @@
 
     def _may_keep(self, attempt: Attempt) -> bool:
         return self._presence_lease.may_keep_tasks(
-            attempt.task.entry, self._clock.now_ms()
+            attempt.request.entry, self._clock.now_ms()
         )
 
     def _adopt_lease(
@@ -358,7 +362,7 @@
         if attempt_key is None:
             return
         entry = versioned_entry.entry if versioned_entry else None
-        task = TaskRequest(
+        request = TaskRequest(
             lease.lease_id,
             attempt_key.job_id,
             lease.entry,
@@ -369,16 +373,16 @@
             now_ms,
         )
         worker_id = channel.worker.instance_id
-        attempt = Attempt(attempt_key, task, worker_id, lease.resources)
+        attempt = Attempt(attempt_key, request, worker_id, lease.resources)
         self.add(channel, attempt)
-        self._scheduler.adopt(task, worker_id, lease.resources)
+        self._scheduler.adopt(request, worker_id, lease.resources)
         if _is_obsolete(job, attempt_key, channel):
             channel.pending_stops[lease.lease_id] = None
         self._observe_listed(channel, attempt, lease, now_ms)
 
     def _remove(self, channel: WorkerChannel, attempt: Attempt) -> None:
-        channel.attempts_by_lease.pop(attempt.task.task_id, None)
-        channel.pending_starts.pop(attempt.task.task_id, None)
+        channel.attempts_by_lease.pop(attempt.request.task_id, None)
+        channel.pending_starts.pop(attempt.request.task_id, None)
         attempt_by_number = self._attempts_by_task.get(attempt.task_key, {})
         if attempt_by_number.get(attempt.key.attempt) is attempt:
             del attempt_by_number[attempt.key.attempt]
@@ -394,9 +398,9 @@
     return attempt_key.attempt < job.attempts_by_task.get(attempt_key.task, 0)
 
 
-def _outcome_of(task: TaskRequest, lease: LeaseView) -> TaskOutcome:
+def _outcome_of(request: TaskRequest, lease: LeaseView) -> TaskOutcome:
     """Return how a lease ended; for a service any end is a failure."""
-    is_service = task.work_class is WorkClass.SERVICE
+    is_service = request.work_class is WorkClass.SERVICE
     if lease.state is LeaseState.FINISHED and not is_service:
         return TaskOutcome.FINISHED
     return TaskOutcome.FAILED
--- a/src/magnoliapitch/job/unit.py
+++ b/src/magnoliapitch/job/unit.py
@@ -39,8 +39,8 @@
 
     :ivar job_ids: unfinished jobs of the rack.
     :ivar is_settled: whether older jobs may start.
-    :ivar is_releasing: whether the rack is being handed to another owner,
-        which is never revoked.
+    :ivar is_releasing: whether the rack is being handed to another owner;
+        a handover is never cancelled.
     """
 
     def __init__(self, claim: Claim, now_ms: int) -> None:
--- a/src/magnoliapitch/worker/http_pool.py
+++ b/src/magnoliapitch/worker/http_pool.py
@@ -78,9 +78,9 @@
     def throttle(
         self, worker: InstanceInfo, lease_id: str, cpu_millis: int
     ) -> Result[WorkerView, Failure]:
-        """Limit the processor share of a task.
+        """Limit the CPU use of a task.
 
-        :param cpu_millis: limit, in thousandths of a processor.
+        :param cpu_millis: limit, in thousandths of a core.
         """
         return self._call(
             worker,
@@ -95,5 +95,5 @@
         if client is None:
             client = JsonClient(worker.url)
             self._clients_by_url[worker.url] = client
-        answer = client.call("POST", f"/{action}", value)
-        return answer.map(_VIEW.validate_python)
+        response = client.call("POST", f"/{action}", value)
+        return response.map(_VIEW.validate_python)
--- a/src/magnoliapitch/worker/pool.py
+++ b/src/magnoliapitch/worker/pool.py
@@ -62,7 +62,7 @@
     def throttle(
         self, worker: InstanceInfo, lease_id: str, cpu_millis: int
     ) -> Result[WorkerView, Failure]:
-        """Limit the processor share of a task.
+        """Limit the CPU use of a task.
 
-        :param cpu_millis: limit, in thousandths of a processor.
+        :param cpu_millis: limit, in thousandths of a core.
         """
