--- a/src/magnoliapitch/history/request.py
+++ b/src/magnoliapitch/history/request.py
@@ -46,7 +46,7 @@
 class ResponseReceived(NamedTuple):
     """A caller received the response to an attempt.
 
-    :param verdict: verdict of a failure; nothing for a result.
+    :param verdict: verdict of a failure; ``None`` for a result.
     :param body: the request's body, as echoed in a result.
     """
 
@@ -55,7 +55,7 @@
     body: bytes = b""
 
 
-class Violation(NamedTuple):
+class RequestViolation(NamedTuple):
     """Violation of an invariant by a history of requests.
 
     :param invariant: name of the invariant.
@@ -73,7 +73,7 @@
 
 def check_requests(
     events: Iterable[RequestEvent], slots: int
-) -> tuple[Violation, ...]:
+) -> tuple[RequestViolation, ...]:
     """Return the violations in a complete history of requests.
 
     :param slots: maximum number of requests that a backend server may
@@ -92,19 +92,19 @@
 
 def _check_response_count(
     history: tuple[RequestEvent, ...],
-) -> Iterator[Violation]:
+) -> Iterator[RequestViolation]:
     responses = Counter(
         item.attempt for item in history if isinstance(item, ResponseReceived)
     )
     sent = {item.attempt for item in history if isinstance(item, RequestSent)}
     for attempt in sorted(sent | set(responses)):
         if attempt not in sent or responses[attempt] != 1:
-            yield Violation("one response per attempt", attempt)
+            yield RequestViolation("one response per attempt", attempt)
 
 
 def _check_echoed_body(
     history: tuple[RequestEvent, ...],
-) -> Iterator[Violation]:
+) -> Iterator[RequestViolation]:
     bodies = {
         item.attempt: item.body
         for item in history
@@ -117,12 +117,14 @@
         ):
             continue
         if event.body != bodies.get(event.attempt):
-            yield Violation("response belongs to request", event.attempt)
+            yield RequestViolation(
+                "response belongs to request", event.attempt
+            )
 
 
 def _check_not_run_verdicts(
     history: tuple[RequestEvent, ...],
-) -> Iterator[Violation]:
+) -> Iterator[RequestViolation]:
     started = {
         item.attempt for item in history if isinstance(item, ExecutionStarted)
     }
@@ -132,12 +134,12 @@
             and event.verdict is Verdict.NOT_RUN
         )
         if is_not_run and event.attempt in started:
-            yield Violation("no execution after not_run", event.attempt)
+            yield RequestViolation("no execution after not_run", event.attempt)
 
 
 def _check_single_execution(
     history: tuple[RequestEvent, ...],
-) -> Iterator[Violation]:
+) -> Iterator[RequestViolation]:
     sent = {
         item.attempt: item for item in history if isinstance(item, RequestSent)
     }
@@ -150,12 +152,12 @@
     )
     for name, count in executions.items():
         if count > 1:
-            yield Violation("at most one execution", name)
+            yield RequestViolation("at most one execution", name)
 
 
 def _check_results_have_execution(
     history: tuple[RequestEvent, ...],
-) -> Iterator[Violation]:
+) -> Iterator[RequestViolation]:
     names = {
         item.attempt: item.name
         for item in history
@@ -171,17 +173,19 @@
             isinstance(event, ResponseReceived) and event.verdict is None
         )
         if is_result and names.get(event.attempt) not in executed:
-            yield Violation("result only after an execution", event.attempt)
+            yield RequestViolation(
+                "result only after an execution", event.attempt
+            )
 
 
 def _check_slot_limit(
     history: tuple[RequestEvent, ...], slots: int
-) -> Iterator[Violation]:
+) -> Iterator[RequestViolation]:
     running: Counter[str] = Counter()
     for event in history:
         if isinstance(event, ExecutionStarted):
             running[event.server] += 1
             if running[event.server] > slots:
-                yield Violation("slot limit", event.server)
+                yield RequestViolation("slot limit", event.server)
         elif isinstance(event, ExecutionEnded):
             running[event.server] -= 1
