--- a/src/magnoliapitch/bench/idle.py
+++ b/src/magnoliapitch/bench/idle.py
@@ -9,14 +9,14 @@
 import urllib3
 
 from magnoliapitch.bench.exceptions import BenchError
-from magnoliapitch.capacity.measurement import Idle
+from magnoliapitch.capacity.measurement import IdleCost
 
 
 BYTES_PER_MB = 1 << 20
 READ_TIMEOUT_S = 10
 
 
-def measure_idle(admin_url: str, seconds: float) -> Idle:
+def measure_idle(admin_url: str, seconds: float) -> IdleCost:
     """Read the resource counters of an instance twice and compare them.
 
     :param admin_url: base address of the operators' listener.
@@ -37,7 +37,7 @@
         _cost_value(state_after, key) - _cost_value(state_before, key)
         for key in ("received_bytes", "sent_bytes")
     )
-    return Idle(
+    return IdleCost(
         cpu_s / elapsed_s,
         _cost_value(state_after, "memory_bytes") / BYTES_PER_MB,
         traffic_bytes / elapsed_s,
