--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -175,6 +175,7 @@
         self._update_withheld(channel)
 
     def _update_withheld(self, channel: WorkerChannel) -> None:
+        """Keep the scheduler from using a worker that accepts no starts."""
         worker = channel.worker
         is_releasing = self._is_releasing(channel)
         is_usable = channel.accepts_starts and not is_releasing
--- a/src/magnoliapitch/job/tracker.py
+++ b/src/magnoliapitch/job/tracker.py
@@ -287,12 +287,12 @@
         if attempt.state is AttemptState.ENDED:
             self._record_end(channel, attempt)
             return
-        may_arrive = (
+        may_grant_arrive = (
             attempt.state is AttemptState.SENT
             and attempt.boot_id == view.boot_id
             and view.now_ms < attempt.expires_at_ms
         )
-        if not may_arrive:
+        if not may_grant_arrive:
             self._end(channel, attempt, TaskOutcome.LOST, now_ms)
 
     def _end(
