--- a/src/magnoliapitch/bench/decisions/scale.py
+++ b/src/magnoliapitch/bench/decisions/scale.py
@@ -144,7 +144,7 @@
             ended_placement = self._running.pop()
             started_ns = time.process_time_ns()
             self._scheduler.record_task_end(
-                ended_placement.task_id, TaskOutcome.FINISHED, self.now_ms
+                ended_placement.attempt_id, TaskOutcome.FINISHED, self.now_ms
             )
             self.spent_ns += time.process_time_ns() - started_ns
 
@@ -236,7 +236,7 @@
 
 
 def _probe_count(scheduler: Scheduler) -> int:
-    probes = getattr(scheduler, "probes", None)
+    probes = getattr(scheduler, "examined_count", None)
     return int(probes()) if probes is not None else 0
 
 
--- a/src/magnoliapitch/decision/reclaim.py
+++ b/src/magnoliapitch/decision/reclaim.py
@@ -59,18 +59,18 @@
     def __init__(self, allocations: Allocations, is_enabled: bool) -> None:
         self._allocations = allocations
         self._is_enabled = is_enabled
-        self._throttled_by_task: dict[str, RunningTask] = {}
-        self._throttle_sent_ms_by_task: dict[str, int] = {}
-        self._checkpoint_sent_ms_by_task: dict[str, int] = {}
+        self._throttled_by_attempt: dict[str, RunningTask] = {}
+        self._throttle_sent_ms_by_attempt: dict[str, int] = {}
+        self._checkpoint_sent_ms_by_attempt: dict[str, int] = {}
 
     def plan_for_task(
-        self, size: Resources, unit: str, now_ms: int, victims: VictimKind
+        self, size: Resources, unit: str, now_ms: int, victim_kind: VictimKind
     ) -> list[Eviction]:
         """Return evictions that make room for a task on the cheapest worker.
 
         :param size: resources that the task needs.
         :param unit: the only rack that it may run in; empty for any.
-        :param victims: which tasks may be evicted.
+        :param victim_kind: which tasks may be evicted.
         :returns: the evictions; empty if none make enough room.
         """
         if not self._is_enabled:
@@ -80,7 +80,7 @@
         for worker in self._allocations.workers.emptiest_workers(
             MAX_EXAMINED_WORKERS, unit
         ):
-            plan = _plan_on_worker(worker, size, victims)
+            plan = _plan_on_worker(worker, size, victim_kind)
             if plan is None:
                 continue
             cost, evictions = plan
@@ -89,7 +89,7 @@
                 lowest_cost = cost
         if best:
             self._record_all(best, now_ms)
-            if victims is VictimKind.BULK:
+            if victim_kind is VictimKind.BULK:
                 worker_id = best[0].worker_id
                 worker = self._allocations.workers.by_id[worker_id]
                 self._allocations.earmark(worker, size, now_ms + EARMARK_MS)
@@ -102,7 +102,11 @@
     def plan_for_growth(
         self, task: RunningTask, now_ms: int
     ) -> list[Eviction]:
-        """Return a checkpoint of a task on a worker that ran out of memory."""
+        """Return a checkpoint of a task whose worker ran out of memory.
+
+        :returns: one eviction; empty if the task is being evicted already
+            or evictions are switched off.
+        """
         if task.is_being_evicted or not self._is_enabled:
             return []
         eviction = _make_eviction(task, EvictionAction.CHECKPOINT)
@@ -110,17 +114,19 @@
         return [eviction]
 
     def lift_throttles(self, limit: int) -> list[Eviction]:
-        """Return throttles back to the initial CPU where capacity is free.
+        """Return throttles that restore the initial CPU where it is free.
 
         :param limit: number of throttled tasks to examine at most.
         """
         found = []
-        for task_id, task in list(self._throttled_by_task.items())[:limit]:
-            if self._allocations.running_by_id.get(task_id) is not task:
-                del self._throttled_by_task[task_id]
-                self._throttle_sent_ms_by_task.pop(task_id, None)
+        for attempt_id, task in list(self._throttled_by_attempt.items())[
+            :limit
+        ]:
+            if self._allocations.running_by_id.get(attempt_id) is not task:
+                del self._throttled_by_attempt[attempt_id]
+                self._throttle_sent_ms_by_attempt.pop(attempt_id, None)
                 continue
-            if task_id in self._throttle_sent_ms_by_task:
+            if attempt_id in self._throttle_sent_ms_by_attempt:
                 continue
             wanted = (
                 task.initially_reserved.cpu_millis - task.reserved.cpu_millis
@@ -137,7 +143,7 @@
             reserved = task.reserved._replace(cpu_millis=cpu_millis)
             self._allocations.resize(task, reserved)
             task.is_being_evicted = False
-            del self._throttled_by_task[task_id]
+            del self._throttled_by_attempt[attempt_id]
             found.append(
                 _make_eviction(task, EvictionAction.THROTTLE, cpu_millis)
             )
@@ -145,7 +151,7 @@
 
     def confirm_throttle(self, task: RunningTask) -> None:
         """Record that a worker confirmed the throttle of a task."""
-        self._throttle_sent_ms_by_task.pop(task.request.task_id, None)
+        self._throttle_sent_ms_by_attempt.pop(task.request.attempt_id, None)
         task.is_being_evicted = False
 
     def escalate_overdue(self, now_ms: int) -> list[Eviction]:
@@ -154,23 +160,27 @@
         A task whose throttle was not confirmed in time is marked, so that it
         may be checkpointed instead.
         """
-        for task_id, sent_ms in list(self._throttle_sent_ms_by_task.items()):
+        for attempt_id, sent_ms in list(
+            self._throttle_sent_ms_by_attempt.items()
+        ):
             if now_ms - sent_ms >= THROTTLE_TIMEOUT_MS:
-                del self._throttle_sent_ms_by_task[task_id]
-                del self._throttled_by_task[task_id]
-                self._mark_throttle_ignored(task_id)
+                del self._throttle_sent_ms_by_attempt[attempt_id]
+                del self._throttled_by_attempt[attempt_id]
+                self._mark_throttle_ignored(attempt_id)
         found = []
-        for task_id, sent_ms in list(self._checkpoint_sent_ms_by_task.items()):
-            task = self._allocations.running_by_id.get(task_id)
+        for attempt_id, sent_ms in list(
+            self._checkpoint_sent_ms_by_attempt.items()
+        ):
+            task = self._allocations.running_by_id.get(attempt_id)
             if task is None:
-                del self._checkpoint_sent_ms_by_task[task_id]
+                del self._checkpoint_sent_ms_by_attempt[attempt_id]
             elif now_ms - sent_ms >= CHECKPOINT_TIMEOUT_MS:
-                del self._checkpoint_sent_ms_by_task[task_id]
+                del self._checkpoint_sent_ms_by_attempt[attempt_id]
                 found.append(_make_eviction(task, EvictionAction.STOP))
         return found
 
-    def _mark_throttle_ignored(self, task_id: str) -> None:
-        task = self._allocations.running_by_id.get(task_id)
+    def _mark_throttle_ignored(self, attempt_id: str) -> None:
+        task = self._allocations.running_by_id.get(attempt_id)
         if task is not None:
             task.ignores_throttle = True
             task.is_being_evicted = False
@@ -178,7 +188,7 @@
 
     def _record_all(self, evictions: list[Eviction], now_ms: int) -> None:
         for eviction in evictions:
-            task = self._allocations.running_by_id[eviction.task_id]
+            task = self._allocations.running_by_id[eviction.attempt_id]
             self._record_eviction(eviction, task, now_ms)
 
     def _record_eviction(
@@ -186,14 +196,14 @@
     ) -> None:
         task.is_being_evicted = True
         if eviction.action is EvictionAction.THROTTLE:
-            self._throttled_by_task[eviction.task_id] = task
-            self._throttle_sent_ms_by_task[eviction.task_id] = now_ms
+            self._throttled_by_attempt[eviction.attempt_id] = task
+            self._throttle_sent_ms_by_attempt[eviction.attempt_id] = now_ms
         else:
-            self._checkpoint_sent_ms_by_task[eviction.task_id] = now_ms
+            self._checkpoint_sent_ms_by_attempt[eviction.attempt_id] = now_ms
 
 
 def _plan_on_worker(
-    worker: WorkerState, size: Resources, kind: VictimKind
+    worker: WorkerState, size: Resources, victim_kind: VictimKind
 ) -> tuple[int, list[Eviction]] | None:
     """Return the cost and the evictions that make room on a worker.
 
@@ -206,7 +216,7 @@
         (
             task
             for task in worker.tasks_by_id.values()
-            if _is_candidate(task, kind)
+            if _is_candidate(task, victim_kind)
         ),
         key=_eviction_cost,
     )
@@ -252,13 +262,13 @@
     return found if found and missing <= 0 else None
 
 
-def _is_candidate(task: RunningTask, kind: VictimKind) -> bool:
+def _is_candidate(task: RunningTask, victim_kind: VictimKind) -> bool:
     request = task.request
     if task.is_being_evicted or request.work_class not in BULK_CLASSES:
         return False
-    if kind is VictimKind.BORROWED:
+    if victim_kind is VictimKind.BORROWED:
         return task.borrowed
-    if kind is VictimKind.BULK:
+    if victim_kind is VictimKind.BULK:
         return True
     return request.work_class is WorkClass.BATCH and not request.deadline_ms
 
@@ -279,4 +289,4 @@
     task: RunningTask, action: EvictionAction, cpu_millis: int = 0
 ) -> Eviction:
     worker_id = task.worker.shape.worker_id
-    return Eviction(task.request.task_id, worker_id, action, cpu_millis)
+    return Eviction(task.request.attempt_id, worker_id, action, cpu_millis)
--- a/src/magnoliapitch/job/attempt.py
+++ b/src/magnoliapitch/job/attempt.py
@@ -45,8 +45,8 @@
 class Attempt:
     """An attempt that may run on a worker, or whose end is not recorded.
 
-    :ivar request: scheduler's request for the task, whose ``task_id`` is the
-        lease id of the attempt.
+    :ivar request: scheduler's request for the task; its ``attempt_id`` is
+        the lease id of the attempt.
     :ivar reserved: resources that are reserved on the worker.
     :ivar payload: opaque input of the task.
     :ivar boot_id: boot of the worker for which the lease was granted.
