--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -11,8 +11,8 @@
 from magnoliapitch.event import log_event
 from magnoliapitch.job.manager import JobManager
 from magnoliapitch.journal.journal import Journal
-from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.journal.record import EntryLeave
+from magnoliapitch.journal.record import MemberJoin
+from magnoliapitch.journal.record import MemberLeave
 from magnoliapitch.journal.snapshot_writer import SnapshotWriter
 from magnoliapitch.membership.fleet import Fleet
 from magnoliapitch.membership.identity import Identity
@@ -196,7 +196,7 @@
     def join(self) -> None:
         """Announce this incarnation to all instances through the log."""
         self.journal.enqueue(
-            EntryJoin(
+            MemberJoin(
                 self.identity.instance_id,
                 self.identity.incarnation,
                 self.identity.zone,
@@ -210,7 +210,7 @@
 
         To be called after all steps have stopped.
         """
-        self.journal.enqueue(EntryLeave(self.identity.incarnation))
+        self.journal.enqueue(MemberLeave(self.identity.incarnation))
         for _ in range(MAX_LEAVE_ATTEMPTS):
             if not self.journal.has_unsent():
                 return
@@ -253,7 +253,7 @@
 
     def patience_ms(self, entry: str) -> int:
         """Return how long callers of a catalogue entry wait, in ms."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(entry)
         if versioned is None:
             return DEFAULT_PATIENCE_MS
@@ -261,19 +261,19 @@
 
     def work_class_of(self, entry: str) -> str:
         """Return the work class of a catalogue entry, or ``unknown``."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(entry)
         return versioned.entry.work_class.value if versioned else "unknown"
 
     def job_status(self, job_id: str) -> dict[str, object] | None:
         """Return a summary of a job from the log, or None."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             job = state.jobs_by_id.get(job_id)
             return None if job is None else _job_summary(job)
 
     def job_list(self) -> list[dict[str, object]]:
         """Return a summary of each job in the log."""
-        with self.journal.reading() as state:
+        with self.journal.locked_state() as state:
             return [_job_summary(job) for job in state.jobs_by_id.values()]
 
     def dump(self) -> dict[str, object]:
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.membership.instance import InstanceState
 from magnoliapitch.membership.liveness import PeerLiveness
 from magnoliapitch.membership.state import MemberState
@@ -51,7 +51,7 @@
         self._identity = identity
         self._fleet = fleet
         self._liveness_by_incarnation: dict[str, PeerLiveness] = {}
-        self._joins_by_incarnation: dict[str, EntryJoin] = {}
+        self._joins_by_incarnation: dict[str, MemberJoin] = {}
         self._reports_by_zone: dict[str, tuple[int, ZoneInfo]] = {}
         self._rotation = itertools.count()
 
@@ -87,7 +87,7 @@
             liveness.last_delivered_ms = max(
                 liveness.last_delivered_ms, delivered_ms
             )
-        self._joins_by_incarnation[heartbeat.incarnation] = EntryJoin(
+        self._joins_by_incarnation[heartbeat.incarnation] = MemberJoin(
             heartbeat.instance_id,
             heartbeat.incarnation,
             heartbeat.zone,
@@ -101,7 +101,7 @@
         for report in heartbeat.zones:
             self._record_report(report, now_ms)
 
-    def joins(self) -> dict[str, EntryJoin]:
+    def joins(self) -> dict[str, MemberJoin]:
         """Return the join records of all known peers, by incarnation."""
         return dict(self._joins_by_incarnation)
 
@@ -123,7 +123,7 @@
             if has_left or (is_silent and member is None):
                 del self._liveness_by_incarnation[incarnation]
 
-    def status(self, join: EntryJoin, now_ms: int) -> PeerStatus:
+    def status(self, join: MemberJoin, now_ms: int) -> PeerStatus:
         """Return the status of a member."""
         liveness = self.liveness(join.incarnation)
         heartbeat = liveness.heartbeat
@@ -136,7 +136,7 @@
             self._is_one_way(join, liveness, now_ms),
         )
 
-    def is_due(self, join: EntryJoin, now_ms: int, round_number: int) -> bool:
+    def is_due(self, join: MemberJoin, now_ms: int, round_number: int) -> bool:
         """Return whether to send a member a heartbeat in this round.
 
         Each call carries a heartbeat in both directions. Within a zone
@@ -209,7 +209,7 @@
         self.liveness(member.incarnation).record_relayed(member, now_ms)
         self._joins_by_incarnation.setdefault(
             member.incarnation,
-            EntryJoin(
+            MemberJoin(
                 member.instance_id,
                 member.incarnation,
                 member.zone,
@@ -226,7 +226,7 @@
             self._reports_by_zone[report.zone] = (reported_ms, report)
 
     def _state(
-        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
+        self, join: MemberJoin, liveness: PeerLiveness, now_ms: int
     ) -> MemberState:
         if not liveness.was_seen:
             return MemberState.JOINING
@@ -240,7 +240,7 @@
         return MemberState.LIVE
 
     def _is_responsive(
-        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
+        self, join: MemberJoin, liveness: PeerLiveness, now_ms: int
     ) -> bool:
         if now_ms - liveness.last_two_way_ms <= self._suspect_after_ms(join):
             return True
@@ -251,7 +251,7 @@
         return now_ms - liveness.last_relayed_ms <= RELAYED_SUSPECT_AFTER_MS
 
     def _is_one_way(
-        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
+        self, join: MemberJoin, liveness: PeerLiveness, now_ms: int
     ) -> bool:
         suspect_after_ms = self._suspect_after_ms(join)
         is_heard = now_ms - liveness.last_heartbeat_ms <= suspect_after_ms
@@ -259,7 +259,7 @@
             is_heard and now_ms - liveness.last_delivered_ms > suspect_after_ms
         )
 
-    def _suspect_after_ms(self, join: EntryJoin) -> int:
+    def _suspect_after_ms(self, join: MemberJoin) -> int:
         if join.zone == self._identity.zone:
             return SUSPECT_AFTER_MS
         return REMOTE_SUSPECT_AFTER_MS
