--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -39,7 +39,7 @@
     from magnoliapitch.decision.interface import Explanation
     from magnoliapitch.decision.interface import Placement
     from magnoliapitch.decision.interface import Scheduler
-    from magnoliapitch.journal.job_change import ChangedTask
+    from magnoliapitch.journal.job_change import JobChange
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
@@ -65,8 +65,8 @@
         and renew leases for.
     :param runner: makes the calls to workers, by default at once in the
         thread that calls :meth:`step`.
-    :param lease_ttl_ms: duration of task leases, in milliseconds; at most
-        the longest that all instances assume.
+    :param lease_ttl_ms: duration of task leases, in milliseconds; reduced
+        to ``LEASE_TTL_MAX_MS``, the longest that other instances assume.
     """
 
     def __init__(
@@ -175,6 +175,7 @@
         self._update_withheld(channel)
 
     def _update_withheld(self, channel: WorkerChannel) -> None:
+        """Keep the scheduler from using a worker that accepts no starts."""
         worker = channel.worker
         is_releasing = self._is_releasing(channel)
         is_usable = channel.accepts_starts and not is_releasing
@@ -204,7 +205,7 @@
                 continue
             self._units_by_name[name] = OwnedUnit(claim, self._clock.now_ms())
             log_event("unit-claimed", unit=name, epoch=claim.epoch)
-            with self._journal.reading() as state:
+            with self._journal.locked_state() as state:
                 jobs = [
                     job
                     for job in state.jobs_by_id.values()
@@ -292,7 +293,7 @@
                 self._backlog.add_job(job_id)
 
     def _apply_job_changes(self, now_ms: int) -> None:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             if state is not self._state:
                 self._state = state
                 self._admit_unfinished(state)
@@ -323,7 +324,7 @@
             self._backlog.add_job(job.spec.job_id)
 
     def _apply_change(
-        self, state: ClusterState, change: ChangedTask, now_ms: int
+        self, state: ClusterState, change: JobChange, now_ms: int
     ) -> None:
         job = state.jobs_by_id.get(change.job_id)
         if change.task < 0:
@@ -366,27 +367,27 @@
             if attempt_key is None or channel is None:
                 continue
             task_key = TaskKey(attempt_key.job_id, attempt_key.task)
-            task = self._backlog.pop(task_key)
-            if task is None:
+            request = self._backlog.pop(task_key)
+            if request is None:
                 continue
             attempt = Attempt(
                 attempt_key,
-                task,
+                request,
                 placement.worker_id,
                 placement.reserved,
                 self._payload(attempt_key.job_id),
             )
             self._tracker.add(channel, attempt)
-            waited_ms = now_ms - task.submitted_ms
-            self._metrics.observe("task_wait", waited_ms, task.work_class)
+            waited_ms = now_ms - request.submitted_ms
+            self._metrics.observe("task_wait", waited_ms, request.work_class)
             is_releasing = self._is_releasing(channel)
             if channel.accepts_starts and not is_releasing:
-                channel.pending_starts[task.attempt_id] = None
+                channel.pending_starts[request.attempt_id] = None
             else:
                 self._tracker.requeue(channel, attempt, now_ms)
 
     def _payload(self, job_id: str) -> str:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             job = state.jobs_by_id.get(job_id)
             return job.spec.payload if job else ""
 
