--- a/src/magnoliapitch/bench/request.py
+++ b/src/magnoliapitch/bench/request.py
@@ -44,7 +44,7 @@
     "clubes-app",
     Limits(concurrent_requests=1_000, requests_per_second=1_000_000),
 )
-CELL_SHAPE = ClusterShape(
+CLUSTER_SHAPE = ClusterShape(
     ("norte",),
     ENTRY.app,
     Resources(1_000, 1_000, 0),
@@ -159,19 +159,19 @@
 
 @contextmanager
 def _running_paths() -> Iterator[_RunningPaths]:
-    cell = StandinCluster(CELL_SHAPE)
+    cluster = StandinCluster(CLUSTER_SHAPE)
     server = StandinServer(
-        cell.log, cell.instance_list, cell.workers, cell.backends
+        cluster.log, cluster.instance_list, cluster.workers, cluster.backends
     )
     server.start()
-    cell.log.append(encode_record((CataloguePut(ENTRY, 0),)))
+    cluster.log.append(encode_record((CataloguePut(ENTRY, 0),)))
     nodes = [
-        cell.add_entry(zone, HttpBackendClient()) for zone in _entry_zones()
+        cluster.add_entry(zone, HttpBackendClient()) for zone in _entry_zones()
     ]
     for node in nodes:
         node.start()
     try:
-        calls = {"direct": _direct_call(cell)}
+        calls = {"direct": _direct_call(cluster)}
         for path, node in zip(("owner", "peer"), nodes, strict=True):
             calls[path] = _call_through_entry(node)
             _wait_until_served(calls[path])
@@ -183,14 +183,14 @@
 
 
 def _entry_zones() -> tuple[str, str]:
-    return CELL_SHAPE.zones[0], "no-servers-here"
+    return CLUSTER_SHAPE.zones[0], "no-servers-here"
 
 
-def _direct_call(cell: StandinCluster) -> Callable[[], bool]:
+def _direct_call(cluster: StandinCluster) -> Callable[[], bool]:
     client = HttpBackendClient()
     servers = [
         info
-        for info in cell.instance_list.by_id.values()
+        for info in cluster.instance_list.by_id.values()
         if info.role is InstanceRole.BACKEND_SERVER
     ]
     request = BackendRequest(
--- a/tests/api/conftest.py
+++ b/tests/api/conftest.py
@@ -22,18 +22,18 @@
 WAIT_S = 30
 
 
-class RunningCell:
-    """A cell of two entries in this process."""
+class RunningCluster:
+    """Two running entry instances and their stand-ins."""
 
     def __init__(self) -> None:
-        self.cell = StandinCluster(QUETZALTENANGO_SHAPE)
+        self.cluster = StandinCluster(QUETZALTENANGO_SHAPE)
         for zone in QUETZALTENANGO_SHAPE.zones[:2]:
-            self.cell.add_entry(zone)
+            self.cluster.add_entry(zone)
 
     def start(self) -> None:
-        for node in self.cell.entries:
+        for node in self.cluster.entries:
             node.start()
-        for node in self.cell.entries:
+        for node in self.cluster.entries:
             wait_until(node.core.is_ready)
             wait_until(node.core.membership.peers)
 
@@ -45,7 +45,7 @@
         if_match: str = "",
         number: int = 0,
     ) -> urllib3.BaseHTTPResponse:
-        node = self.cell.entries[number]
+        node = self.cluster.entries[number]
         headers = {"If-Match": if_match} if if_match else {}
         return urllib3.request(
             method,
@@ -58,7 +58,7 @@
 
     def stop(self) -> None:
         with ThreadPoolExecutor() as threads:
-            list(threads.map(lambda node: node.stop(), self.cell.entries))
+            list(threads.map(lambda node: node.stop(), self.cluster.entries))
 
 
 def wait_until(condition: Callable[[], Any]) -> None:
@@ -71,8 +71,8 @@
 
 
 @pytest.fixture
-def running() -> Iterator[RunningCell]:
-    running = RunningCell()
+def running() -> Iterator[RunningCluster]:
+    running = RunningCluster()
     running.start()
     yield running
     running.stop()
--- a/tests/api/test_admin.py
+++ b/tests/api/test_admin.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     import pytest
 
-    from tests.api.conftest import RunningCell
+    from tests.api.conftest import RunningCluster
 
 
 ENTRY = {
@@ -25,7 +25,7 @@
 
 
 def test_admin_changes_an_entry_only_with_its_version(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     created = running.admin("PUT", PATH, ENTRY)
     assert (created.status, created.headers["ETag"]) == (200, '"1"')
@@ -45,7 +45,9 @@
     assert running.admin("GET", PATH).status == 404
 
 
-def test_admin_refuses_an_invalid_change_whole(running: RunningCell) -> None:
+def test_admin_refuses_an_invalid_change_whole(
+    running: RunningCluster,
+) -> None:
     wrong = {**ENTRY, "work_class": "fast", "limits": {"shares": 1}}
     answer = running.admin("PUT", PATH, wrong)
     assert answer.status == 400
@@ -58,7 +60,7 @@
 
 
 def test_admin_checks_a_change_without_making_it(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     answer = running.admin("PUT", f"{PATH}?dry_run=true", ENTRY)
     assert answer.json() == {"name": "seat-check", "valid": True}
@@ -66,7 +68,7 @@
 
 
 def test_admin_shows_where_a_change_is_in_force(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     running.admin("PUT", PATH, ENTRY)
 
@@ -79,10 +81,10 @@
 
 
 def test_admin_drain_turns_readiness_off_and_refuses_new_work(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     running.admin("PUT", PATH, ENTRY)
-    node = running.cell.entries[0]
+    node = running.cluster.entries[0]
     assert running.admin("GET", "/v1/ready").status == 200
     assert running.admin("POST", "/v1/drain").status == 202
     assert running.admin("GET", "/v1/ready").status == 503
@@ -98,16 +100,16 @@
 
 
 def test_admin_is_not_ready_while_callers_cannot_connect(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
-    node = running.cell.entries[0]
+    node = running.cluster.entries[0]
     wait_until(lambda: running.admin("GET", "/v1/ready").status == 200)
     node.caller_listener.stop()
     assert node.core.is_ready()
     assert not node.is_ready()
 
 
-def test_admin_dumps_the_state_of_every_part(running: RunningCell) -> None:
+def test_admin_dumps_the_state_of_every_part(running: RunningCluster) -> None:
     dump = running.admin("GET", "/v1/state").json()
     loops = dump["supervisor"]["platform"]["children"]
     assert loops["follower"]["alive"]
@@ -119,9 +121,9 @@
 
 
 def test_admin_answers_while_callers_hold_every_thread(
-    running: RunningCell, monkeypatch: pytest.MonkeyPatch
+    running: RunningCluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    node = running.cell.entries[0]
+    node = running.cluster.entries[0]
     running.admin("PUT", PATH, ENTRY)
     release = threading.Event()
     threads = node.settings.listeners.caller_threads
--- a/tests/api/test_job_advice.py
+++ b/tests/api/test_job_advice.py
@@ -13,7 +13,7 @@
 
 
 if TYPE_CHECKING:
-    from tests.api.conftest import RunningCell
+    from tests.api.conftest import RunningCluster
 
 
 SMALL = Resources(1, 1)
@@ -21,7 +21,7 @@
 
 
 def test_job_that_can_never_run_is_refused_with_what_would_help(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     _prepare(running, {"queued": 50})
     large = _submit(running, "large", 1, 33_000)
@@ -32,7 +32,7 @@
     assert "raise limits.queued" in many.json()["detail"]
 
 
-def test_job_of_an_unknown_entry_is_refused(running: RunningCell) -> None:
+def test_job_of_an_unknown_entry_is_refused(running: RunningCluster) -> None:
     _prepare(running, {})
     running.admin("DELETE", "/v1/catalogue/term-roster", if_match='"1"')
     refused = _submit(running, "j", 1, 1_000)
@@ -41,20 +41,20 @@
 
 
 def test_job_is_submitted_and_cancelled_once_however_often_asked(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     _prepare(running, {})
     for _ in range(2):
         assert _submit(running, "j", 8, 32_000).status == 202
     other = _submit(running, "j", 7, 32_000)
     assert (other.status, other.json()["verdict"]) == (409, "not_run")
-    node = running.cell.entries[0]
+    node = running.cluster.entries[0]
     url = f"http://127.0.0.1:{node.caller_listener.port}/v1/jobs/j"
     for _ in range(2):
         assert urllib3.request("DELETE", url, timeout=WAIT_S).status == 200
 
 
-def test_job_that_waits_is_explained(running: RunningCell) -> None:
+def test_job_that_waits_is_explained(running: RunningCluster) -> None:
     _prepare(running, {})
     for number in range(4):
         assert _submit(running, f"job-{number}", 8, 25_000).status == 202
@@ -62,11 +62,11 @@
     assert _get(running, 0, "absent").status == 404
 
 
-def _prepare(running: RunningCell, limits: dict[str, int]) -> None:
+def _prepare(running: RunningCluster, limits: dict[str, int]) -> None:
     entry = {**ENTRY, "limits": limits}
     path = "/v1/catalogue/term-roster"
     assert running.admin("PUT", path, entry).status == 200
-    core = running.cell.entries[0].core
+    core = running.cluster.entries[0].core
 
     def is_claimed() -> bool:
         with core.journal.reading() as state:
@@ -82,7 +82,7 @@
 
 
 def _submit(
-    running: RunningCell, job_id: str, tasks: int, cpu_millis: int
+    running: RunningCluster, job_id: str, tasks: int, cpu_millis: int
 ) -> urllib3.BaseHTTPResponse:
     job = {
         "job_id": job_id,
@@ -100,7 +100,7 @@
     )
 
 
-def _limits(running: RunningCell) -> set[Any]:
+def _limits(running: RunningCluster) -> set[Any]:
     return {
         _get(running, entry, f"job-{number}").json().get("limit")
         for entry in range(2)
@@ -109,12 +109,12 @@
 
 
 def _get(
-    running: RunningCell, number: int, job_id: str
+    running: RunningCluster, number: int, job_id: str
 ) -> urllib3.BaseHTTPResponse:
     url = f"{_url(running, number)}/v1/jobs/{job_id}/explanation"
     return urllib3.request("GET", url, timeout=WAIT_S, retries=False)
 
 
-def _url(running: RunningCell, number: int) -> str:
-    node = running.cell.entries[number]
+def _url(running: RunningCluster, number: int) -> str:
+    node = running.cluster.entries[number]
     return f"http://127.0.0.1:{node.caller_listener.port}"
--- a/tests/api/test_openapi.py
+++ b/tests/api/test_openapi.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from magnoliapitch.http import Listener
-    from tests.api.conftest import RunningCell
+    from tests.api.conftest import RunningCluster
 
 
 PAGE = Path(__file__).parents[2] / "docs" / "openapi.json"
@@ -29,8 +29,8 @@
     }
 
 
-def _registered(running: RunningCell) -> dict[tuple[str, str], Listener]:
-    node = running.cell.entries[0]
+def _registered(running: RunningCluster) -> dict[tuple[str, str], Listener]:
+    node = running.cluster.entries[0]
     return {
         (route.method, route.path): listener
         for listener in (node.caller_listener, node.admin_listener)
@@ -39,13 +39,13 @@
 
 
 def test_openapi_lists_exactly_the_registered_routes(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     assert set(_documented()) == set(_registered(running))
 
 
 def test_openapi_lists_every_status_that_is_answered(
-    running: RunningCell,
+    running: RunningCluster,
 ) -> None:
     listener_by_route = _registered(running)
     operations = _documented()
--- a/tests/console/test_commands.py
+++ b/tests/console/test_commands.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from tests.api.conftest import RunningCell
+from tests.api.conftest import RunningCluster
 from tests.api.conftest import wait_until
 
 
@@ -26,15 +26,15 @@
 
 
 class Urls:
-    def __init__(self, running: RunningCell) -> None:
-        node = running.cell.entries[0]
+    def __init__(self, running: RunningCluster) -> None:
+        node = running.cluster.entries[0]
         self.caller = f"http://127.0.0.1:{node.caller_listener.port}"
         self.admin = f"http://127.0.0.1:{node.admin_listener.port}"
 
 
 @pytest.fixture(scope="module")
 def urls() -> Iterator[Urls]:
-    running = RunningCell()
+    running = RunningCluster()
     running.start()
     yield Urls(running)
     running.stop()
--- a/tests/history/fault.py
+++ b/tests/history/fault.py
@@ -30,7 +30,7 @@
 
 
 def choose_worker(simulation: Simulation) -> str:
-    return str(simulation.rng.choice(sorted(simulation.cell.workers.by_id)))
+    return str(simulation.rng.choice(sorted(simulation.cluster.workers.by_id)))
 
 
 @fault
@@ -63,17 +63,19 @@
 
 @fault
 def log_outage(simulation: Simulation) -> Undo:
-    simulation.cell.log.down = True
+    simulation.cluster.log.down = True
 
     def undo() -> None:
-        simulation.cell.log.down = False
+        simulation.cluster.log.down = False
 
     return undo
 
 
 @fault
 def lost_log_answers(simulation: Simulation) -> Undo:
-    simulation.cell.log.answers_to_lose += int(simulation.rng.integers(1, 8))
+    simulation.cluster.log.answers_to_lose += int(
+        simulation.rng.integers(1, 8)
+    )
     return lambda: None
 
 
@@ -141,7 +143,7 @@
 
 @fault
 def worker_down(simulation: Simulation) -> Undo:
-    worker = simulation.cell.workers.by_id[choose_worker(simulation)]
+    worker = simulation.cluster.workers.by_id[choose_worker(simulation)]
     worker.down = True
 
     def undo() -> None:
@@ -152,13 +154,13 @@
 
 @fault
 def worker_restart(simulation: Simulation) -> Undo:
-    simulation.cell.workers.by_id[choose_worker(simulation)].restart()
+    simulation.cluster.workers.by_id[choose_worker(simulation)].restart()
     return lambda: None
 
 
 @fault
 def worker_fails_all(simulation: Simulation) -> Undo:
-    worker = simulation.cell.workers.by_id[choose_worker(simulation)]
+    worker = simulation.cluster.workers.by_id[choose_worker(simulation)]
     worker.fails_all_tasks = True
 
     def undo() -> None:
--- a/tests/history/simulation.py
+++ b/tests/history/simulation.py
@@ -99,12 +99,12 @@
     ) -> Result[LogSlice, Failure]:
         if self.is_log_unreachable:
             return Err(UNREACHABLE)
-        return self.simulation.cell.log.read(from_offset, limit)
+        return self.simulation.cluster.log.read(from_offset, limit)
 
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
         if self.is_log_unreachable:
             return Err(UNREACHABLE)
-        return self.simulation.cell.instance_list.instances()
+        return self.simulation.cluster.instance_list.instances()
 
 
 class FaultyWorkers:
@@ -114,7 +114,7 @@
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
-        self._workers = environment.simulation.cell.workers
+        self._workers = environment.simulation.cluster.workers
 
     def view(self, worker: InstanceInfo) -> Result[WorkerView, Failure]:
         return self._call(worker, lambda: self._workers.view(worker))
@@ -204,7 +204,7 @@
         shape = ClusterShape(
             ZONES, "app", CAPACITY, WORKERS_PER_ZONE, backends_per_zone=1
         )
-        self.cell = StandinCluster(shape, self.clock)
+        self.cluster = StandinCluster(shape, self.clock)
         self.network = StandinNetwork()
         self.instances_by_id: dict[str, SimulatedInstance] = {}
         self.paused: set[str] = set()
@@ -214,7 +214,7 @@
         self.pending: list[tuple[PendingEntry, JobSpec]] = []
         self.events: list[Event] = [
             WorkerCapacityReported(0, info.instance_id, info.capacity)
-            for info in self.cell.instance_list.by_id.values()
+            for info in self.cluster.instance_list.by_id.values()
             if info.role is InstanceRole.WORKER
         ]
         for zone in ZONES:
@@ -223,7 +223,7 @@
         self._publish_default_entry()
 
     def append(self, data: bytes) -> Result[int, Failure]:
-        outcome = self.cell.log.append(data)
+        outcome = self.cluster.log.append(data)
         refused = (
             isinstance(outcome, Err)
             and outcome.err_value.verdict is Verdict.NOT_RUN
@@ -250,7 +250,7 @@
         workers = FaultyWorkers(environment)
         core = EntryCore(
             settings,
-            Adapters(environment, environment, workers, self.cell.backends),
+            Adapters(environment, environment, workers, self.cluster.backends),
             self.network.link(address),
             self.clock,
         )
@@ -351,7 +351,7 @@
 
     def history(self) -> list[Event]:
         events = [*self.events, *self._events_from_log()]
-        for worker in self.cell.workers.by_id.values():
+        for worker in self.cluster.workers.by_id.values():
             worker.reserved()
             events += worker.events
         return events
@@ -386,7 +386,7 @@
         """Replay the log and return task ends and cancellations in it."""
         state = ClusterState()
         events: list[Event] = []
-        records = self.cell.log.read(0, 10**6).unwrap().records
+        records = self.cluster.log.read(0, 10**6).unwrap().records
         for record in records:
             outcome = apply_record(state, record)
             at_ms = self.appended_ms[record.offset]
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -95,15 +95,15 @@
 
 
 class Deployment:
-    """Stand-ins of a cell in this process and entries in others."""
+    """Stand-ins in this process and entry instances in others."""
 
     def __init__(self, folder: Path) -> None:
-        self.cell = StandinCluster(QUETZALTENANGO_SHAPE)
+        self.cluster = StandinCluster(QUETZALTENANGO_SHAPE)
         self.server = StandinServer(
-            self.cell.log,
-            self.cell.instance_list,
-            self.cell.workers,
-            self.cell.backends,
+            self.cluster.log,
+            self.cluster.instance_list,
+            self.cluster.workers,
+            self.cluster.backends,
         )
         self.server.start()
         self.entries: list[EntryProcess] = []
--- a/tests/process/test_path.py
+++ b/tests/process/test_path.py
@@ -27,7 +27,7 @@
 def test_path_serves_a_request_and_a_job_through_processes(
     deployment: Deployment,
 ) -> None:
-    for zone in deployment.cell.shape.zones:
+    for zone in deployment.cluster.shape.zones:
         deployment.add_entry(zone)
     for entry in deployment.entries:
         entry.wait_ready()
--- a/tests/process/test_request_fault.py
+++ b/tests/process/test_request_fault.py
@@ -103,7 +103,7 @@
 def test_requests_keep_every_promise_while_entries_die_and_pause(
     deployment: Deployment,
 ) -> None:
-    for zone in (*deployment.cell.shape.zones, "xela-norte"):
+    for zone in (*deployment.cluster.shape.zones, "xela-norte"):
         deployment.add_entry(zone)
     entries = deployment.entries
     for entry in entries:
@@ -116,8 +116,8 @@
         kind = ExecutionStarted if is_start else ExecutionEnded
         events.append(kind(request_id, server))
 
-    deployment.cell.backends.observer = observe
-    deployment.cell.backends.duration_ms = 20
+    deployment.cluster.backends.observer = observe
+    deployment.cluster.backends.duration_ms = 20
     callers = [Caller(n, entries, events) for n in range(CALLERS)]  # type: ignore[arg-type]
     threads = [threading.Thread(target=caller.run) for caller in callers]
     for thread in threads:
@@ -136,12 +136,12 @@
 def _disturb(deployment: Deployment) -> None:
     servers = [
         info.instance_id
-        for info in deployment.cell.instance_list.by_id.values()
+        for info in deployment.cluster.instance_list.by_id.values()
         if info.app
     ]
     for server in servers[::3]:
-        deployment.cell.backends.add_fault(server, BackendFault.REFUSE)
-        deployment.cell.backends.add_fault(
+        deployment.cluster.backends.add_fault(server, BackendFault.REFUSE)
+        deployment.cluster.backends.add_fault(
             server, BackendFault.TRUNCATE_ANSWER
         )
     paused, killed = deployment.entries[1].process, deployment.entries[2]
@@ -149,8 +149,8 @@
     paused.send_signal(signal.SIGSTOP)
     time.sleep(0.5)
     killed.process.kill()
-    deployment.cell.log.down = True
+    deployment.cluster.log.down = True
     time.sleep(1)
     paused.send_signal(signal.SIGCONT)
     time.sleep(0.5)
-    deployment.cell.log.down = False
+    deployment.cluster.log.down = False
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -38,7 +38,7 @@
     url = f"{entry.admin_url}/v1/catalogue/seat-check"
     assert urllib3.request("PUT", url, json=ENTRY).status == 200
     _until(lambda: _post(entry, "warm").status == 200)
-    deployment.cell.backends.duration_ms = DURATION_MS
+    deployment.cluster.backends.duration_ms = DURATION_MS
     answers: dict[int, urllib3.BaseHTTPResponse] = {}
 
     def call(number: int) -> None:
@@ -65,7 +65,7 @@
     for number in range(IN_FLIGHT):
         assert answers[number].status == 200, answers[number].data
         assert answers[number].json()["echo"] == f"seat {number}"
-    bodies = [run.body for run in deployment.cell.backends.history]
+    bodies = [run.body for run in deployment.cluster.backends.history]
     assert b"late" not in bodies
     assert len(bodies) == len(set(bodies))
 
--- a/tests/request/conftest.py
+++ b/tests/request/conftest.py
@@ -39,7 +39,7 @@
 SETTLE_ROUNDS = 6
 
 
-class RequestCellShape(NamedTuple):
+class RequestClusterShape(NamedTuple):
     zones: tuple[str, ...] = ("norte",)
     entries_per_zone: int = 1
     backends: int = 1
@@ -47,15 +47,15 @@
 
 
 DEFAULT_LIMITS = Limits()
-DEFAULT_SHAPE = RequestCellShape()
+DEFAULT_SHAPE = RequestClusterShape()
 
 
-class RequestCell:
+class RequestCluster:
     """Entry instances connected in memory; the test drives their steps."""
 
-    def __init__(self, shape: RequestCellShape, clock: Clock) -> None:
+    def __init__(self, shape: RequestClusterShape, clock: Clock) -> None:
         self.clock = clock
-        self.deployment = StandinCluster(
+        self.standins = StandinCluster(
             ClusterShape(
                 shape.zones,
                 APP,
@@ -66,7 +66,7 @@
             ),
             clock,
         )
-        self.backends = self.deployment.backends
+        self.backends = self.standins.backends
         self.network = StandinNetwork()
         self.cores: list[EntryCore] = []
         self._stopping = threading.Event()
@@ -85,9 +85,9 @@
         )
         settings = settings._replace(address=f"10.0.0.{number}")
         adapters = Adapters(
-            self.deployment.log,
-            self.deployment.instance_list,
-            self.deployment.workers,
+            self.standins.log,
+            self.standins.instance_list,
+            self.standins.workers,
             self.backends,
         )
         address = f"{settings.address}:{settings.listeners.peer_port}"
@@ -117,7 +117,7 @@
             PATIENCE_MS,
             idempotent=idempotent,
         )
-        self.deployment.log.append(
+        self.standins.log.append(
             encode_record((CataloguePut(entry, version),))
         )
 
@@ -143,12 +143,12 @@
     def server_ids(self, zone: str = "norte") -> list[str]:
         return sorted(
             info.instance_id
-            for info in self.deployment.instance_list.by_id.values()
+            for info in self.standins.instance_list.by_id.values()
             if info.app and info.zone == zone
         )
 
     def mark_leaving(self, server_id: str) -> None:
-        infos = self.deployment.instance_list.by_id
+        infos = self.standins.instance_list.by_id
         infos[server_id] = infos[server_id]._replace(
             state=InstanceState.LEAVING
         )
@@ -172,16 +172,16 @@
 
 
 @pytest.fixture
-def make_cell() -> Iterator[Callable[..., RequestCell]]:
-    made: list[RequestCell] = []
+def make_cluster() -> Iterator[Callable[..., RequestCluster]]:
+    made: list[RequestCluster] = []
 
     def make(
-        shape: RequestCellShape = DEFAULT_SHAPE, *, threads: bool = False
-    ) -> RequestCell:
+        shape: RequestClusterShape = DEFAULT_SHAPE, *, threads: bool = False
+    ) -> RequestCluster:
         clock = MonotonicClock() if threads else ManualClock(1_000)
-        made.append(RequestCell(shape, clock))
+        made.append(RequestCluster(shape, clock))
         return made[-1]
 
     yield make
-    for cell in made:
-        cell.stop()
+    for cluster in made:
+        cluster.stop()
--- a/tests/request/test_limit.py
+++ b/tests/request/test_limit.py
@@ -11,18 +11,18 @@
 from magnoliapitch.request.limit import TokenBucket
 from magnoliapitch.verdict import FailureCode
 from magnoliapitch.verdict import Verdict
-from tests.request.conftest import RequestCellShape
+from tests.request.conftest import RequestClusterShape
 
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from magnoliapitch.request.dispatcher import Outcome
-    from tests.request.conftest import RequestCell
+    from tests.request.conftest import RequestCluster
 
 
 JOIN_TIMEOUT_S = 30
-THREE_ENTRIES = RequestCellShape(entries_per_zone=3, slots=64)
+THREE_ENTRIES = RequestClusterShape(entries_per_zone=3, slots=64)
 
 
 def test_bucket_allows_the_rate_and_a_burst_of_one_second() -> None:
@@ -33,14 +33,16 @@
 
 @pytest.mark.parametrize("limit", [1, 2, 7, 30])
 def test_limits_hold_for_all_entries_together(
-    make_cell: Callable[..., RequestCell], limit: int
+    make_cluster: Callable[..., RequestCluster], limit: int
 ) -> None:
-    cell = make_cell(THREE_ENTRIES)
+    cluster = make_cluster(THREE_ENTRIES)
     limits = Limits(requests_per_second=limit)
-    cell.put_entry("seat-check", 1, limits=limits)
-    cell.settle()
+    cluster.put_entry("seat-check", 1, limits=limits)
+    cluster.settle()
     outcomes = [
-        cell.execute(core, number) for core in range(3) for number in range(40)
+        cluster.execute(core, number)
+        for core in range(3)
+        for number in range(40)
     ]
     refused = [item.unwrap_err() for item in outcomes if item.is_err()]
     assert len(outcomes) - len(refused) == limit
@@ -50,57 +52,59 @@
 
 
 def test_limits_keep_their_shares_while_a_member_is_silent(
-    make_cell: Callable[..., RequestCell],
+    make_cluster: Callable[..., RequestCluster],
 ) -> None:
-    cell = make_cell(THREE_ENTRIES)
-    cell.put_entry("seat-check", 1, limits=Limits(requests_per_second=30))
-    cell.settle()
-    cell.cores = cell.cores[:1]
-    assert isinstance(cell.clock, ManualClock)
-    cell.clock.advance(10_000)
-    cell.settle()
-    answered = [cell.execute(number=n).is_ok() for n in range(40)]
+    cluster = make_cluster(THREE_ENTRIES)
+    cluster.put_entry("seat-check", 1, limits=Limits(requests_per_second=30))
+    cluster.settle()
+    cluster.cores = cluster.cores[:1]
+    assert isinstance(cluster.clock, ManualClock)
+    cluster.clock.advance(10_000)
+    cluster.settle()
+    answered = [cluster.execute(number=n).is_ok() for n in range(40)]
     assert sum(answered) == 10
 
 
 def test_concurrency_limit_queues_excess_requests(
-    make_cell: Callable[..., RequestCell],
+    make_cluster: Callable[..., RequestCluster],
 ) -> None:
-    cell = make_cell(RequestCellShape(slots=64), threads=True)
-    cell.put_entry(
+    cluster = make_cluster(RequestClusterShape(slots=64), threads=True)
+    cluster.put_entry(
         "seat-check", 1, limits=Limits(concurrent_requests=3, queued=50)
     )
-    cell.settle()
-    cell.run_in_background()
-    cell.backends.duration_ms = 5
+    cluster.settle()
+    cluster.run_in_background()
+    cluster.backends.duration_ms = 5
     outcomes: list[Outcome] = []
     threads = [
-        cell.spawn(lambda: outcomes.append(cell.execute())) for _ in range(30)
+        cluster.spawn(lambda: outcomes.append(cluster.execute()))
+        for _ in range(30)
     ]
     for thread in threads:
         thread.join(JOIN_TIMEOUT_S)
     assert all(outcome.is_ok() for outcome in outcomes)
-    assert cell.backends.max_in_flight_by_server == {"norte-runner-1": 3}
+    assert cluster.backends.max_in_flight_by_server == {"norte-runner-1": 3}
 
 
 def test_concurrency_limit_bounds_the_queue(
-    make_cell: Callable[..., RequestCell],
+    make_cluster: Callable[..., RequestCluster],
 ) -> None:
-    cell = make_cell(RequestCellShape(slots=64), threads=True)
-    cell.put_entry(
+    cluster = make_cluster(RequestClusterShape(slots=64), threads=True)
+    cluster.put_entry(
         "seat-check", 1, limits=Limits(concurrent_requests=1, queued=1)
     )
-    cell.settle()
-    cell.run_in_background()
+    cluster.settle()
+    cluster.run_in_background()
     may_finish = threading.Event()
 
     def hold(server_id: str) -> None:
         may_finish.wait(JOIN_TIMEOUT_S)
 
-    cell.backends.on_send = hold
+    cluster.backends.on_send = hold
     outcomes: list[Outcome] = []
     threads = [
-        cell.spawn(lambda: outcomes.append(cell.execute())) for _ in range(6)
+        cluster.spawn(lambda: outcomes.append(cluster.execute()))
+        for _ in range(6)
     ]
     while len(outcomes) < 4:
         assert any(thread.is_alive() for thread in threads)
@@ -109,4 +113,4 @@
     for thread in threads:
         thread.join(JOIN_TIMEOUT_S)
     assert {item.verdict for item in refused} == {Verdict.NOT_RUN}
-    assert len(cell.backends.history) == 2
+    assert len(cluster.backends.history) == 2
