--- a/src/magnoliapitch/api/admin.py
+++ b/src/magnoliapitch/api/admin.py
@@ -28,7 +28,7 @@
         """Return what the instance decides with."""
 
     @property
-    def cost(self) -> ProcessUsageMeter:
+    def usage_meter(self) -> ProcessUsageMeter:
         """Return the meter of the process."""
 
     @property
@@ -58,7 +58,7 @@
 
     @application.route("GET", "/v1/metrics")
     def metrics(request: HttpRequest) -> HttpResponse:  # noqa: ARG001
-        text = prometheus_text(node.core.metrics, node.cost.read())
+        text = prometheus_text(node.core.metrics, node.usage_meter.read())
         return HttpResponse(200, text.encode(), CONTENT_TYPE)
 
     @application.route("POST", "/v1/drain")
--- a/src/magnoliapitch/bench/idle.py
+++ b/src/magnoliapitch/bench/idle.py
@@ -22,31 +22,31 @@
     :param admin_url: base address of the operators' listener.
     :param seconds: time between the two readings; the instance should get
         no requests in it.
-    :raises BenchError: if the instance does not answer with JSON.
+    :raises BenchError: if the instance does not respond with JSON.
     """
     state_before = _read_state(admin_url)
     time.sleep(seconds)
     state_after = _read_state(admin_url)
-    elapsed_s = _cost_value(state_after, "elapsed_s") - _cost_value(
+    elapsed_s = _usage_value(state_after, "elapsed_s") - _usage_value(
         state_before, "elapsed_s"
     )
-    cpu_s = _cost_value(state_after, "cpu_s") - _cost_value(
+    cpu_s = _usage_value(state_after, "cpu_s") - _usage_value(
         state_before, "cpu_s"
     )
     traffic_bytes = sum(
-        _cost_value(state_after, key) - _cost_value(state_before, key)
+        _usage_value(state_after, key) - _usage_value(state_before, key)
         for key in ("received_bytes", "sent_bytes")
     )
     return IdleCost(
         cpu_s / elapsed_s,
-        _cost_value(state_after, "memory_bytes") / BYTES_PER_MB,
+        _usage_value(state_after, "memory_bytes") / BYTES_PER_MB,
         traffic_bytes / elapsed_s,
         len(state_after["jobs"]["workers"]),
         elapsed_s,
     )
 
 
-def _cost_value(state: dict[str, Any], key: str) -> float:
+def _usage_value(state: dict[str, Any], key: str) -> float:
     return float(state["cost"][key])
 
 
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -85,7 +85,7 @@
         self._is_draining = False
         self._health = StoreHealth(self._clock)
         self._metrics = Metrics()
-        self._cost = ProcessUsageMeter()
+        self._usage_meter = ProcessUsageMeter()
         client = HttpClient(32, self._observe_call)
         store = PlatformStore(settings.endpoints.store, client)
         self._directory = PlatformDirectory(store)
@@ -265,7 +265,7 @@
 
     def _exposition(self, request: HttpRequest) -> HttpResponse:
         del request
-        text = prometheus_text(self._metrics, self._cost.read())
+        text = prometheus_text(self._metrics, self._usage_meter.read())
         return HttpResponse(200, text.encode(), "text/plain")
 
 
--- a/src/magnoliapitch/entry/node.py
+++ b/src/magnoliapitch/entry/node.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.settings = settings
         self.clock = clock or MonotonicClock()
-        self.cost = ProcessUsageMeter()
+        self.usage_meter = ProcessUsageMeter()
         address = settings.address
         self.peer_node = PeerNode((address, settings.listeners.peer_port))
         self.worker_calls = PooledRunner()
@@ -109,7 +109,7 @@
         return {
             "instance": self.core.identity._asdict(),
             "version": __version__,
-            "cost": self.cost.read()._asdict(),
+            "cost": self.usage_meter.read()._asdict(),
             "supervisor": self.supervisor.dump(),
             **self.core.dump(),
         }
