--- a/src/magnoliapitch/backend/http_client.py
+++ b/src/magnoliapitch/backend/http_client.py
@@ -78,7 +78,8 @@
     request.
 
     :param connections_per_server: idle connections kept open to each server.
-        The caller's slots limit how many are open at the same time.
+        The caller limits how many are open at the same time, by the slots
+        of the server.
     :param max_response_bytes: longest accepted body of a response.
     """
 
--- a/src/magnoliapitch/bench/decisions/offline.py
+++ b/src/magnoliapitch/bench/decisions/offline.py
@@ -32,16 +32,16 @@
 
 
 class OfflineBound(NamedTuple):
-    """What schedules reach that know the whole trace in advance.
+    """Results of schedules that know the whole trace in advance.
 
     Work is processor time; its unit is one thousandth of a core for one
     millisecond. Bulk work is that of batch and gang jobs.
 
     :param packed_bulk_millicore_ms: bulk work within the peak interval when
         the largest tasks are placed first.
-    :param volume_bulk_millicore_ms: processor time that the other classes
-        leave to bulk work within the peak interval, or the bulk work that
-        arrives before its end if that is less.
+    :param volume_bulk_millicore_ms: the smaller of the processor time that
+        the other classes leave to bulk work within the peak interval, and
+        the bulk work that arrives before its end.
     :param feasible_job_ids: jobs whose deadline is met when the tasks are
         placed by deadline.
     """
@@ -140,8 +140,8 @@
 class _Packer:
     """Simulates list scheduling with the actual sizes and run times.
 
-    At each step it fills the workers, that with the least free processors
-    first, with the waiting tasks of the best priority that fit.
+    At each step it visits the workers, that with the least free processors
+    first, and starts on each the waiting tasks of the best priority that fit.
 
     :param items: tasks in the order of their priority, the best first.
     :ivar scheduled_tasks: the schedule so far.
--- a/src/magnoliapitch/bench/journal/progress.py
+++ b/src/magnoliapitch/bench/journal/progress.py
@@ -68,7 +68,7 @@
 
 
 def measure_polling(zones: int, per_zone: int) -> ProgressFigures:
-    """Let the instance that wants to know ask every other one.
+    """Poll every other instance for its applied offset.
 
     :param zones: number of zones.
     :param per_zone: number of instances in each zone.
--- a/src/magnoliapitch/bench/request.py
+++ b/src/magnoliapitch/bench/request.py
@@ -62,8 +62,9 @@
 class PathFigure(NamedTuple):
     """Latency and throughput of one path of a request.
 
-    :param path: ``direct`` to a backend server, through its ``owner``, or
-        through a ``peer`` that forwards the request to the owner.
+    :param path: ``direct`` to a backend server, through the entry instance
+        that is its ``owner``, or through a ``peer`` that forwards the
+        request to the owner.
     :param requests: number of measured requests.
     :param callers: number of concurrent callers.
     :param added_p50_ms: median latency less that of the direct path.
--- a/src/magnoliapitch/settings/model.py
+++ b/src/magnoliapitch/settings/model.py
@@ -76,8 +76,8 @@
 class LimitSettings(NamedTuple):
     """Limits on hung and failing children of the supervisor.
 
-    :param restarts: restarts of one child within the window after which the
-        process gives up.
+    :param restarts: restarts of one child allowed within the window; the
+        process gives up beyond that.
     :param restart_window_ms: length of the window in which restarts are
         counted.
     :param hung_after_ms: time since a loop began its last step, above which it
--- a/src/magnoliapitch/supervisor/supervisor.py
+++ b/src/magnoliapitch/supervisor/supervisor.py
@@ -89,7 +89,7 @@
         return self._thread is not None and self._thread.is_alive()
 
     def check_children(self) -> None:
-        """Restart failed children that are due, and detect hung ones."""
+        """Restart failed children after their backoff; detect hung ones."""
         for child in self._children:
             if self.has_given_up:
                 return
