--- a/tests/request/conftest.py
+++ b/tests/request/conftest.py
@@ -51,7 +51,11 @@
 
 
 class RequestCluster:
-    """Entry instances connected in memory; the test drives their steps."""
+    """Entry instances connected in memory; the test drives their steps.
+
+    :ivar standins: stand-ins for the platform and the backend servers.
+    :ivar cores: the entry instances.
+    """
 
     def __init__(self, shape: RequestClusterShape, clock: Clock) -> None:
         self.clock = clock
