--- a/src/magnoliapitch/bench/decisions/audit.py
+++ b/src/magnoliapitch/bench/decisions/audit.py
@@ -28,8 +28,8 @@
         self.decisions = 0
         self._capacity_by_worker: dict[str, Resources] = {}
         self._reserved_by_worker: dict[str, Resources] = {}
-        self._placements_by_task: dict[str, Placement] = {}
-        self._placed_tasks: set[str] = set()
+        self._placements_by_attempt: dict[str, Placement] = {}
+        self._placed_attempts: set[str] = set()
 
     def add_worker(self, worker: WorkerShape) -> None:
         """Add a worker without reservations."""
@@ -39,7 +39,7 @@
     def remove_worker(self, worker_id: str) -> None:
         """Remove a worker and the reservations on it."""
         del self._capacity_by_worker[worker_id]
-        for placement in list(self._placements_by_task.values()):
+        for placement in list(self._placements_by_attempt.values()):
             if placement.worker_id == worker_id:
                 self.release(placement.attempt_id)
         del self._reserved_by_worker[worker_id]
@@ -76,7 +76,7 @@
         :raises InvalidDecisionError: if the worker's reservations would
             exceed its capacity.
         """
-        placement = self._placements_by_task.get(attempt_id)
+        placement = self._placements_by_attempt.get(attempt_id)
         if placement is None:
             return
         self.release(attempt_id)
@@ -84,7 +84,7 @@
 
     def release(self, attempt_id: str) -> None:
         """Remove the reservation of an ended attempt."""
-        placement = self._placements_by_task.pop(attempt_id, None)
+        placement = self._placements_by_attempt.pop(attempt_id, None)
         if placement is None:
             return
         reserved = self._reserved_by_worker[placement.worker_id]
@@ -99,16 +99,16 @@
         return total
 
     def _check_placement(self, placement: Placement) -> None:
-        if placement.attempt_id in self._placed_tasks:
+        if placement.attempt_id in self._placed_attempts:
             raise InvalidDecisionError(
-                f"task {placement.attempt_id} was placed twice"
+                f"attempt {placement.attempt_id} was placed twice"
             )
         if placement.worker_id not in self._capacity_by_worker:
             raise InvalidDecisionError(
-                f"task {placement.attempt_id} was placed on worker "
+                f"attempt {placement.attempt_id} was placed on worker "
                 f"{placement.worker_id}, which does not exist"
             )
-        self._placed_tasks.add(placement.attempt_id)
+        self._placed_attempts.add(placement.attempt_id)
         self._reserve(placement)
 
     def _reserve(self, placement: Placement) -> None:
@@ -118,9 +118,9 @@
         reserved = earlier_reserved.plus(placement.reserved)
         if not reserved.fits(capacity):
             raise InvalidDecisionError(
-                f"task {placement.attempt_id} raises the reservations on "
+                f"attempt {placement.attempt_id} raises the reservations on "
                 f"worker {worker_id} to {reserved}, more than its capacity of "
                 f"{capacity}"
             )
-        self._placements_by_task[placement.attempt_id] = placement
+        self._placements_by_attempt[placement.attempt_id] = placement
         self._reserved_by_worker[worker_id] = reserved
--- a/src/magnoliapitch/bench/decisions/report.py
+++ b/src/magnoliapitch/bench/decisions/report.py
@@ -62,7 +62,7 @@
             str(cost.queued),
             f"{cost.starts_per_second:.0f}",
             f"{cost.decision_p50_us:.0f}/{cost.decision_p99_us:.0f}",
-            f"{cost.probes_per_start:.1f}",
+            f"{cost.examined_per_start:.1f}",
             f"{cost.resident_mb:.0f}",
         )
         for cost in costs
--- a/src/magnoliapitch/bench/decisions/scale.py
+++ b/src/magnoliapitch/bench/decisions/scale.py
@@ -57,7 +57,7 @@
         time, including that for task ends and submissions.
     :param decision_p50_us: median processor time of a call of ``decide``.
     :param decision_p99_us: 99th percentile of the same.
-    :param probes_per_start: workers examined for each start; it doesn't
+    :param examined_per_start: workers examined for each start; it doesn't
         depend on the machine.
     :param resident_mb: growth of the resident memory of the process.
     """
@@ -68,7 +68,7 @@
     starts_per_second: float
     decision_p50_us: float
     decision_p99_us: float
-    probes_per_start: float
+    examined_per_start: float
     resident_mb: float
 
 
@@ -180,7 +180,7 @@
     load.now_ms += STEP_MS
     load.decide()
     load.reset()
-    probes = _probe_count(scheduler)
+    examined_before = _examined_count(scheduler)
     while load.starts < starts:
         load.now_ms += STEP_MS
         load.end_some()
@@ -195,7 +195,7 @@
         load.starts * 1e9 / load.spent_ns,
         percentile(50) / 1_000,
         percentile(99) / 1_000,
-        (_probe_count(scheduler) - probes) / load.starts,
+        (_examined_count(scheduler) - examined_before) / load.starts,
         (_resident_kb() - resident_kb_before) / 1_024,
     )
 
@@ -235,9 +235,9 @@
     )
 
 
-def _probe_count(scheduler: Scheduler) -> int:
-    probes = getattr(scheduler, "examined_count", None)
-    return int(probes()) if probes is not None else 0
+def _examined_count(scheduler: Scheduler) -> int:
+    examined_count = getattr(scheduler, "examined_count", None)
+    return int(examined_count()) if examined_count is not None else 0
 
 
 def _resident_kb() -> int:
