--- a/src/magnoliapitch/api/catalogue.py
+++ b/src/magnoliapitch/api/catalogue.py
@@ -1,8 +1,8 @@
-"""Routes through which operators read and change the catalogue.
+"""Routes for operators to read and change the catalogue.
 
 The version of an entry is its entity tag. A change of an existing entry
-names the version that it replaces in ``If-Match``; when another operator
-was faster, the answer is 409 and nothing has changed.
+must name the version that it replaces in ``If-Match``. If the entry has
+another version by then, nothing changes and the response is 409.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def add_catalogue_routes(application: Application, core: EntryCore) -> None:
-    """Serve the catalogue below ``/v1/catalogue``."""
+    """Add the routes below ``/v1/catalogue``."""
     _add_read_routes(application, core)
     _add_change_routes(application, core)
 
@@ -49,27 +49,27 @@
     def show_all(request: HttpRequest) -> HttpResponse:  # noqa: ARG001
         with core.journal.reading() as state:
             entries = sorted(state.catalogue_by_name.items())
-        rows = [_row(name, versioned) for name, versioned in entries]
+        rows = [_entry_summary(name, versioned) for name, versioned in entries]
         return json_response({"entries": rows})
 
     @application.route("GET", "/v1/catalogue/{name}")
     def show(request: HttpRequest) -> HttpResponse:
         name = request.path_values["name"]
-        versioned = _find(core, name)
+        versioned = _find_entry(core, name)
         if versioned is None:
-            return problem_response(_unknown(name))
+            return problem_response(_unknown_entry(name))
         return json_response(
-            _plain(versioned.entry),
+            _entry_fields(versioned.entry),
             headers=(("ETag", f'"{versioned.version}"'),),
         )
 
     @application.route("GET", "/v1/catalogue/{name}/applied")
     def applied(request: HttpRequest) -> HttpResponse:
         name = request.path_values["name"]
-        versioned = _find(core, name)
+        versioned = _find_entry(core, name)
         if versioned is None:
-            return problem_response(_unknown(name))
-        instances = _instances(core, versioned.offset)
+            return problem_response(_unknown_entry(name))
+        instances = _applied_by_instance(core, versioned.offset)
         return json_response(
             {
                 "name": name,
@@ -88,13 +88,15 @@
         try:
             entry = parse_entry(request.json())
         except (InvalidEntryError, ValueError) as error:
-            return _refuse(name, not_run(FailureCode.INVALID, str(error)))
+            return _logged_refusal(
+                name, not_run(FailureCode.INVALID, str(error))
+            )
         expected = _expected_version(core, request)
         if isinstance(expected, Err):
-            return _refuse(name, expected.err_value)
+            return _logged_refusal(name, expected.err_value)
         if entry.name != name:
             detail = f"name: found {entry.name!r}; the path says {name!r}"
-            return _refuse(name, not_run(FailureCode.INVALID, detail))
+            return _logged_refusal(name, not_run(FailureCode.INVALID, detail))
         version = expected.ok_value
         if request.query_by_name.get("dry_run") == "true":
             return json_response({"name": name, "valid": True})
@@ -103,11 +105,11 @@
     @application.route("DELETE", "/v1/catalogue/{name}")
     def delete(request: HttpRequest) -> HttpResponse:
         name = request.path_values["name"]
-        if _find(core, name) is None:
-            return problem_response(_unknown(name))
+        if _find_entry(core, name) is None:
+            return problem_response(_unknown_entry(name))
         expected = _expected_version(core, request)
         if isinstance(expected, Err):
-            return _refuse(name, expected.err_value)
+            return _logged_refusal(name, expected.err_value)
         return _commit(core, name, CatalogueDelete(name, expected.ok_value))
 
 
@@ -119,10 +121,10 @@
         return problem_response(outcome.err_value)
     if not outcome.ok_value.applied:
         reason = outcome.ok_value.reason
-        return _refuse(name, not_run(FailureCode.CONFLICT, reason))
+        return _logged_refusal(name, not_run(FailureCode.CONFLICT, reason))
     deleted = isinstance(change, CatalogueDelete)
     log_event("catalogue-changed", entry=name, deleted=deleted)
-    versioned = _find(core, name)
+    versioned = _find_entry(core, name)
     if deleted or versioned is None:
         return json_response({"name": name, "deleted": deleted})
     return json_response(
@@ -135,7 +137,7 @@
     )
 
 
-def _refuse(name: str, failure: Failure) -> HttpResponse:
+def _logged_refusal(name: str, failure: Failure) -> HttpResponse:
     log_event("catalogue-refused", entry=name, reason=failure.detail)
     return problem_response(failure)
 
@@ -143,9 +145,9 @@
 def _expected_version(
     core: EntryCore, request: HttpRequest
 ) -> Result[int, Failure]:
-    current = _find(core, request.path_values["name"])
-    given = request.headers_by_name.get("if-match")
-    if given is None:
+    current = _find_entry(core, request.path_values["name"])
+    if_match = request.headers_by_name.get("if-match")
+    if if_match is None:
         if current is None:
             return Ok(NO_VERSION)
         detail = (
@@ -153,28 +155,30 @@
             f'for example If-Match: "{current.version}"'
         )
         return Err(not_run(FailureCode.PRECONDITION_REQUIRED, detail))
-    text = given.strip().strip('"')
-    if not text.isascii() or not text.isdigit():
-        detail = f'If-Match: found {given!r}; must be a version such as "3"'
+    version_text = if_match.strip().strip('"')
+    if not version_text.isascii() or not version_text.isdigit():
+        detail = f'If-Match: found {if_match!r}; must be a version such as "3"'
         return Err(not_run(FailureCode.INVALID, detail))
-    version = int(text)
-    found = current.version if current else NO_VERSION
-    if version != found:
-        detail = f"If-Match: found version {version}; current is {found}"
+    version = int(version_text)
+    current_version = current.version if current else NO_VERSION
+    if version != current_version:
+        detail = (
+            f"If-Match: found version {version}; current is {current_version}"
+        )
         return Err(not_run(FailureCode.CONFLICT, detail))
     return Ok(version)
 
 
-def _find(core: EntryCore, name: str) -> VersionedEntry | None:
+def _find_entry(core: EntryCore, name: str) -> VersionedEntry | None:
     with core.journal.reading() as state:
         return state.catalogue_by_name.get(name)
 
 
-def _unknown(name: str) -> Failure:
+def _unknown_entry(name: str) -> Failure:
     return not_run(FailureCode.NOT_FOUND, f"no catalogue entry {name!r}")
 
 
-def _row(name: str, versioned: VersionedEntry) -> dict[str, object]:
+def _entry_summary(name: str, versioned: VersionedEntry) -> dict[str, object]:
     return {
         "name": name,
         "owner": versioned.entry.owner,
@@ -184,12 +188,14 @@
     }
 
 
-def _plain(entry: CatalogueEntry) -> dict[str, object]:
+def _entry_fields(entry: CatalogueEntry) -> dict[str, object]:
     return {**entry._asdict(), "limits": entry.limits._asdict()}
 
 
-def _instances(core: EntryCore, offset: int) -> list[dict[str, object]]:
-    own = core.membership.beat()
+def _applied_by_instance(
+    core: EntryCore, offset: int
+) -> list[dict[str, object]]:
+    own = core.membership.own_heartbeat()
     rows = [(own.instance_id, own.zone, "self", own.next_offset)]
     rows += [
         (
--- a/src/magnoliapitch/api/explanation.py
+++ b/src/magnoliapitch/api/explanation.py
@@ -1,4 +1,4 @@
-"""Route that tells why a job waits."""
+"""Route that explains why a job waits."""
 
 from __future__ import annotations
 
@@ -23,14 +23,16 @@
     from magnoliapitch.entry.core import EntryCore
 
 
-TEMPORARY_REDIRECT = 307
+HTTP_TEMPORARY_REDIRECT = 307
 NO_OWNER_RETRY_MS = 1_000
 
 
 class _Owner(NamedTuple):
     """Owner of the rack that a job is assigned to.
 
-    :param url: base URL of its callers' interface, empty for this one.
+    :param url: base URL of the owner's interface for callers; empty if
+        this instance is the owner or the job is done.
+    :param is_done: whether the job is done.
     """
 
     url: str
@@ -38,7 +40,10 @@
 
 
 def add_explanation_route(application: Application, core: EntryCore) -> None:
-    """Serve explanations, or point to the instance that owns the job."""
+    """Add the route for explanations of jobs.
+
+    If another instance owns the job's rack, the route redirects to it.
+    """
 
     @application.route("GET", "/v1/jobs/{job}/explanation")
     def explain(request: HttpRequest) -> HttpResponse:
@@ -53,10 +58,10 @@
             url = owner.url + request.path
             return json_response(
                 {"job_id": job_id, "owner_url": url},
-                TEMPORARY_REDIRECT,
+                HTTP_TEMPORARY_REDIRECT,
                 (("Location", url),),
             )
-        explanation = core.jobs.explain(job_id)
+        explanation = core.job_manager.explain(job_id)
         if explanation is None:
             return json_response({"job_id": job_id, "waits": False})
         return json_response({"waits": True, **explanation._asdict()})
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -1,4 +1,4 @@
-"""The parts of an entry instance without threads and listeners."""
+"""Components of an entry instance, without threads and listeners."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from magnoliapitch.decision.registry import make_scheduler
 from magnoliapitch.decision.synchronized import SynchronizedScheduler
-from magnoliapitch.entry.job_desk import JobDesk
+from magnoliapitch.entry.job_service import JobService
 from magnoliapitch.event import log_event
 from magnoliapitch.job.manager import JobManager
 from magnoliapitch.journal.journal import Journal
@@ -17,15 +17,15 @@
 from magnoliapitch.membership.fleet import Fleet
 from magnoliapitch.membership.identity import Identity
 from magnoliapitch.membership.membership import Membership
-from magnoliapitch.membership.presence import PresenceKeeper
-from magnoliapitch.membership.relay import PeerRelay
+from magnoliapitch.membership.presence import MembershipRecorder
+from magnoliapitch.membership.relay import PeerLogSource
 from magnoliapitch.metric import Metrics
 from magnoliapitch.ownership.claimer import Claimer
 from magnoliapitch.ownership.job_mover import JobMover
 from magnoliapitch.ownership.presence_lease import PresenceLease
-from magnoliapitch.peer.message import Beat
 from magnoliapitch.peer.message import ForwardedAnswer
 from magnoliapitch.peer.message import ForwardedRequest
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.message import LogPage
 from magnoliapitch.policy.options import options_of
 from magnoliapitch.request.router import Router
@@ -51,16 +51,17 @@
 
 
 DEFAULT_PATIENCE_MS = 10_000
-DRAIN_RETRY_MS = 100
-INCOMPLETE_RETRY_MS = 1_000
-LEAVE_TRIES = 5
+DRAINING_RETRY_MS = 100
+INCOMPLETE_HISTORY_RETRY_MS = 1_000
+MAX_LEAVE_ATTEMPTS = 5
 
 
 class NamedStep(NamedTuple):
-    """A step that one thread, or a test, calls again and again.
+    """Function that a single thread, or a test, calls periodically.
 
-    :param step: returns the milliseconds until its next call.
-    :param branch: supervisor that the step's loop belongs to.
+    :param name: name of the thread that calls it.
+    :param step: does the work; returns the milliseconds until its next call.
+    :param branch: name of the supervisor that the thread belongs to.
     """
 
     name: str
@@ -71,10 +72,13 @@
 class EntryCore:
     """State and behaviour of one entry instance.
 
-    Nothing here starts a thread; :meth:`steps` are driven from outside.
+    It starts no threads itself: its user calls the functions that
+    :meth:`steps` returns.
 
-    :ivar on_superseded: called when the log names this incarnation as
-        gone.
+    :param link: client for calls to peers.
+    :param runner: runs calls to workers.
+    :ivar on_superseded: called when the log says that this incarnation has
+        left, because another one replaced it or it was taken as gone.
     """
 
     def __init__(
@@ -101,7 +105,7 @@
             self.clock,
             settings.platform.log_appends_per_s,
         )
-        self.snapshots = SnapshotWriter(self.journal)
+        self.snapshot_writer = SnapshotWriter(self.journal)
         self.membership = Membership(
             self.identity,
             self.journal,
@@ -109,14 +113,16 @@
             self.fleet,
             settings.peer_addresses,
         )
-        self.presence = PresenceKeeper(
+        self.membership_recorder = MembershipRecorder(
             self.membership,
             self.journal,
             self.fleet,
             self.clock,
-            self._retire,
+            self._handle_superseded,
+        )
+        self.journal.follower.peer_source = PeerLogSource(
+            self.membership, link
         )
-        self.journal.follower.peer_source = PeerRelay(self.membership, link)
         self.claimer = Claimer(
             self.identity,
             self.journal,
@@ -139,32 +145,32 @@
                 options_of(settings.profile, settings.weights),
             )
         )
-        self.hold = PresenceLease(
+        self.presence_lease = PresenceLease(
             self.identity.incarnation, self.journal, self.clock
         )
-        self.desk = JobDesk(self.journal, self.fleet, scheduler)
-        self.jobs = JobManager(
+        self.job_service = JobService(self.journal, self.fleet, scheduler)
+        self.job_manager = JobManager(
             self.journal,
             self.fleet,
             self.claimer,
             adapters.workers,
             scheduler,
             self.clock,
-            self.hold,
+            self.presence_lease,
             runner,
             settings.timing.lease_ttl_ms,
             self.metrics,
         )
-        self.mover = JobMover(
+        self.job_mover = JobMover(
             settings.zone, self.journal, self.claimer, self.clock
         )
-        self._link = link
+        self._peer_link = link
 
     def steps(self, wait_ms: int = 0) -> tuple[NamedStep, ...]:
-        """Return the steps in the order in which they are started.
+        """Return the steps, in the order in which to start their threads.
 
-        :param wait_ms: how long a step may wait for something to do; 0
-            for steps that are driven with a manual clock.
+        :param wait_ms: how long a step may block while it has no work; 0
+            if the steps are called with a manual clock.
         """
         return (
             NamedStep(
@@ -177,18 +183,18 @@
                 lambda: self.journal.append_step(wait_ms),
                 "platform",
             ),
-            NamedStep("presence", self.presence.step),
-            NamedStep("snapshots", self.snapshots.step, "platform"),
+            NamedStep("presence", self.membership_recorder.step),
+            NamedStep("snapshots", self.snapshot_writer.step, "platform"),
             NamedStep("fleet", self.fleet.refresh_step, "platform"),
             NamedStep("heartbeat", self._heartbeat_step),
             NamedStep("claimer", self.claimer.claim_step),
-            NamedStep("hold", self.hold.step),
-            NamedStep("mover", self.mover.step),
-            NamedStep("jobs", self.jobs.step),
+            NamedStep("hold", self.presence_lease.step),
+            NamedStep("mover", self.job_mover.step),
+            NamedStep("jobs", self.job_manager.step),
         )
 
     def join(self) -> None:
-        """Announce this incarnation through the log."""
+        """Announce this incarnation to all instances through the log."""
         self.journal.enqueue(
             EntryJoin(
                 self.identity.instance_id,
@@ -200,15 +206,18 @@
         )
 
     def leave(self) -> None:
-        """Announce the departure; call it when no step runs any more."""
+        """Announce through the log that this incarnation has stopped.
+
+        To be called after all steps have stopped.
+        """
         self.journal.enqueue(EntryLeave(self.identity.incarnation))
-        for _ in range(LEAVE_TRIES):
+        for _ in range(MAX_LEAVE_ATTEMPTS):
             if not self.journal.has_unsent():
                 return
             self.journal.append_step()
 
     def applied_everywhere(self) -> AppliedEverywhere:
-        """Return up to which offset the log is in force everywhere."""
+        """Return up to which offset all instances have applied the log."""
         return self.membership.applied_everywhere()
 
     @property
@@ -217,7 +226,7 @@
         return self.membership.leaving
 
     def drain(self) -> None:
-        """Refuse new work from now on; what was accepted goes on."""
+        """Refuse new work from now on; accepted work continues."""
         if not self.is_draining:
             self.router.begin_drain()
             log_event("drain-started")
@@ -231,83 +240,83 @@
         if not self.journal.is_complete:
             return not_run(
                 FailureCode.UNAVAILABLE,
-                "the log's history is not known yet",
-                INCOMPLETE_RETRY_MS,
+                "the history in the log has not been loaded completely yet",
+                INCOMPLETE_HISTORY_RETRY_MS,
             )
         if not self.is_draining:
             return None
         return not_run(
             FailureCode.SHUTTING_DOWN,
             f"instance {self.identity.instance_id} is stopping",
-            DRAIN_RETRY_MS,
+            DRAINING_RETRY_MS,
         )
 
     def patience_ms(self, entry: str) -> int:
-        """Return how long callers of an entry wait."""
+        """Return how long callers of a catalogue entry wait, in ms."""
         with self.journal.reading() as state:
             versioned = state.catalogue_by_name.get(entry)
         if versioned is None:
             return DEFAULT_PATIENCE_MS
         return versioned.entry.patience_ms
 
-    def class_of(self, entry: str) -> str:
-        """Return the class of an entry's work, or ``unknown``."""
+    def work_class_of(self, entry: str) -> str:
+        """Return the work class of a catalogue entry, or ``unknown``."""
         with self.journal.reading() as state:
             versioned = state.catalogue_by_name.get(entry)
         return versioned.entry.work_class.value if versioned else "unknown"
 
     def job_status(self, job_id: str) -> dict[str, object] | None:
-        """Return what the log knows of a job."""
+        """Return a summary of a job from the log, or None."""
         with self.journal.reading() as state:
             job = state.jobs_by_id.get(job_id)
-            return None if job is None else _job_row(job)
+            return None if job is None else _job_summary(job)
 
     def job_list(self) -> list[dict[str, object]]:
-        """Return what the log knows of every job."""
+        """Return a summary of each job in the log."""
         with self.journal.reading() as state:
-            return [_job_row(job) for job in state.jobs_by_id.values()]
+            return [_job_summary(job) for job in state.jobs_by_id.values()]
 
     def dump(self) -> dict[str, object]:
-        """Return the state of every part."""
+        """Return the state of all components."""
         return {
             "journal": self.journal.dump(),
             "membership": self.membership.dump(),
             "router": self.router.dump(),
-            "jobs": self.jobs.dump(),
+            "jobs": self.job_manager.dump(),
             "draining": self.is_draining,
             "metrics": self.metrics.dump(),
         }
 
-    def heartbeat(self, beat: Beat) -> Beat:
-        """Take in a peer's heartbeat and return the own one."""
-        return self.membership.receive(beat)
+    def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
+        """Record a peer's heartbeat and return the own one as answer."""
+        return self.membership.handle_heartbeat(heartbeat)
 
     def forward(
         self, request: ForwardedRequest
     ) -> Result[ForwardedAnswer, Failure]:
-        """Execute a forwarded request."""
+        """Execute a request that a peer has forwarded."""
         return self.router.execute_forwarded(request)
 
     def read_log(self, from_offset: int, limit: int) -> LogPage:
-        """Relay log records."""
-        beat = self.membership.beat()
+        """Return log records from the local copy."""
+        heartbeat = self.membership.own_heartbeat()
         records = self.journal.page(from_offset, limit)
-        return LogPage(records, beat.next_offset, beat.log_age_ms)
+        return LogPage(records, heartbeat.next_offset, heartbeat.log_age_ms)
 
     def snapshot(self) -> StateSnapshot:
-        """Return the encoded fold."""
+        """Return the encoded replicated state."""
         return self.journal.snapshot()
 
     def _heartbeat_step(self) -> int:
         self.membership.loads = self.router.loads()
-        return self.membership.heartbeat_step(self._link)
+        return self.membership.heartbeat_step(self._peer_link)
 
     def _caller_url(self) -> str:
         port = self.settings.listeners.caller_port
         return f"http://{self.settings.address}:{port}"
 
-    def _retire(self) -> None:
-        """Stop working for good: another incarnation has taken over."""
+    def _handle_superseded(self) -> None:
+        """Stop for good, since the log says that this incarnation has left."""
         if self.is_draining:
             return
         log_event("superseded", incarnation=self.identity.incarnation)
@@ -316,7 +325,7 @@
             self.on_superseded()
 
 
-def _job_row(job: JobRecord) -> dict[str, object]:
+def _job_summary(job: JobRecord) -> dict[str, object]:
     return {
         "job_id": job.spec.job_id,
         "entry": job.spec.entry,
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -1,4 +1,4 @@
-"""An instance that schedules jobs from a shared store."""
+"""Entry instance that schedules jobs kept in a shared store."""
 
 from __future__ import annotations
 
@@ -58,23 +58,25 @@
 
 BODY_MAX_BYTES = 1 << 20
 CALLER_THREADS = 24
-READINESS_THREADS = 2
+MONITORING_THREADS = 2
 PEER_THREADS = 4
 CONFIGURATION_WAIT_MS = 700
 CONFIGURATION_RETRY_MS = 200
-# The balancer notices an instance that is not ready within two checks.
-BALANCER_DELAY_MS = 2_500
+# The load balancer needs up to two checks to notice that an instance is not
+# ready.
+LOAD_BALANCER_DELAY_MS = 2_500
 STOP_TIMEOUT_S = 2
-# The leader decides and sends every order, so that it needs both.
-LEADER_CORES = 1.0
-LEADER_LINK_MBPS = 50.0
-WEAK_HANDICAP_MS = 1_500
+# The leader makes and sends all scheduling decisions, which takes CPU time
+# and network bandwidth.
+MIN_LEADER_CORES = 1.0
+MIN_LEADER_LINK_MBPS = 50.0
+WEAK_MACHINE_CLAIM_DELAY_MS = 1_500
 
 
 class JobNode:
-    """The parts of an instance and their supervisor.
+    """Entry instance: its components under a supervisor.
 
-    :param give_up: called when a part fails too often.
+    :param give_up: called when a component fails too often.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
                 self._desk.configuration() is not None
                 and not self._is_draining
             ),
-            _handicap_ms(settings.machine),
+            _claim_delay_ms(settings.machine),
         )
         producer = f"{settings.instance_id}.{os.urandom(6).hex()}"
         self._submitter = Submitter(
@@ -110,8 +112,8 @@
         self._desk = JobApi(
             self._states,
             self._submitter,
-            self._refresh,
-            self._wait,
+            self._refresh_states,
+            self._sleep,
             self._metrics,
         )
         ip = settings.listen.callers.partition(":")[0]
@@ -139,31 +141,35 @@
             lambda post: JobFollower(store, self._clock, self._health, post),
             self._metrics,
         )
-        self._tree = Supervisor(
+        self._supervisor = Supervisor(
             "entry", self._children(), self._clock, give_up=give_up
         )
 
     def start(self) -> None:
-        """Start every part.
+        """Start all components.
 
         :raises StartError: if a listener cannot be bound.
         """
-        self._tree.start()
+        self._supervisor.start()
         log_event("entry-started", pid=os.getpid())
 
     def stop(self) -> None:
-        """Let the balancer turn away, finish what is in flight, stop."""
+        """Stop without losing requests.
+
+        Leave the cluster, wait until the load balancer sends no more
+        requests, finish those in flight and stop all components.
+        """
         log_event("entry-stopping")
         self._is_draining = True
         self._desk.close()
         self._driver.stop()
         self._members.leave()
-        time.sleep(BALANCER_DELAY_MS / 1000)
-        self._tree.stop()
+        time.sleep(LOAD_BALANCER_DELAY_MS / 1000)
+        self._supervisor.stop()
         log_event("entry-stopped")
 
     def is_ready(self) -> bool:
-        """Return whether callers can be served."""
+        """Return whether the instance can serve callers."""
         return (
             not self._is_draining
             and self._desk.configuration() is not None
@@ -172,18 +178,18 @@
         )
 
     def is_leading(self) -> bool:
-        """Return whether this instance decides for all."""
+        """Return whether this instance is the leader."""
         return self._leadership.claim is not None
 
     def _children(self) -> list[Child]:
         listen = self.settings.listen
-        operators = Application(BODY_MAX_BYTES)
-        operators.route("GET", "/readyz")(self._readiness)
+        readiness = Application(BODY_MAX_BYTES)
+        readiness.route("GET", "/readyz")(self._serve_readiness)
         metrics = Application(BODY_MAX_BYTES)
-        metrics.route("GET", "/metrics")(self._exposition)
+        metrics.route("GET", "/metrics")(self._serve_metrics)
         ip = listen.callers.partition(":")[0]
         steps = {
-            "configuration": self._follow_configuration,
+            "configuration": self._poll_configuration,
             "jobs": self._driver.follow_jobs,
             "leadership": self._leadership.step,
             "members": self._members.step,
@@ -194,15 +200,15 @@
             Listener(
                 "readiness",
                 _address(listen.readiness),
-                operators,
-                READINESS_THREADS,
+                readiness,
+                MONITORING_THREADS,
                 STOP_TIMEOUT_S,
             ),
             Listener(
                 "metrics",
                 (ip, listen.metrics_port),
                 metrics,
-                READINESS_THREADS,
+                MONITORING_THREADS,
                 STOP_TIMEOUT_S,
             ),
             Listener(
@@ -223,7 +229,7 @@
             ),
         ]
 
-    def _refresh(self) -> Result[None, Failure]:
+    def _refresh_states(self) -> Result[None, Failure]:
         if self._leadership.claim is not None:
             return Ok(None)
         return self._leadership.follow()
@@ -235,10 +241,10 @@
         if not is_ok:
             self._metrics.count("outgoing_calls_failed", path)
 
-    def _wait(self, duration_ms: int) -> None:
+    def _sleep(self, duration_ms: int) -> None:
         time.sleep(duration_ms / 1000)
 
-    def _follow_configuration(self) -> int:
+    def _poll_configuration(self) -> int:
         outcome = self._directory.configuration(CONFIGURATION_WAIT_MS)
         if isinstance(outcome, Err):
             return CONFIGURATION_RETRY_MS
@@ -259,23 +265,26 @@
             queues=len(configuration.queues_by_name),
         )
 
-    def _readiness(self, request: HttpRequest) -> HttpResponse:
+    def _serve_readiness(self, request: HttpRequest) -> HttpResponse:
         del request
         return HttpResponse(200 if self.is_ready() else 503, b"{}")
 
-    def _exposition(self, request: HttpRequest) -> HttpResponse:
+    def _serve_metrics(self, request: HttpRequest) -> HttpResponse:
         del request
         text = prometheus_text(self._metrics, self._usage_meter.read())
         return HttpResponse(200, text.encode(), "text/plain")
 
 
-def _handicap_ms(machine: MachineSettings) -> int:
-    """Return how much longer a machine too weak to lead well waits."""
+def _claim_delay_ms(machine: MachineSettings) -> int:
+    """Return by how much this instance delays its claims to lead.
+
+    Machines too weak to lead well wait, so that a stronger one wins.
+    """
     is_strong = (
-        machine.cpu_share * machine.cores >= LEADER_CORES
-        and machine.link_mbps >= LEADER_LINK_MBPS
+        machine.cpu_share * machine.cores >= MIN_LEADER_CORES
+        and machine.link_mbps >= MIN_LEADER_LINK_MBPS
     )
-    return 0 if is_strong else WEAK_HANDICAP_MS
+    return 0 if is_strong else WEAK_MACHINE_CLAIM_DELAY_MS
 
 
 def _address(text: str) -> tuple[str, int]:
--- a/src/magnoliapitch/entry/tree.py
+++ b/src/magnoliapitch/entry/tree.py
@@ -1,9 +1,9 @@
-"""The supervisor tree of an entry instance.
+"""Supervisor tree of an entry instance.
 
-Children start in this order and stop in reverse: the operators' listener,
-the loops to the platform, the loops of the cluster, the peer node, the
-callers' listener. So operators can watch an instance during its whole life,
-and callers come last and leave first.
+Children start in this order and stop in reverse order: the operators'
+listener, the loops that call the platform, the loops of the cluster, the
+peer node, the callers' listener. Operators can thus observe an instance
+from start to stop, and callers are served only while all else runs.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class TreeOptions(NamedTuple):
-    """What every supervisor of the tree shares.
+    """Options common to all supervisors of the tree.
 
     :param give_up: called when a child fails too often.
     """
@@ -33,32 +33,35 @@
     policy: RestartPolicy
     give_up: Callable[[], None] | None = None
 
-    def supervisor(self, name: str, children: list[Child]) -> Supervisor:
-        """Return a supervisor with these options."""
+    def make_supervisor(self, name: str, children: list[Child]) -> Supervisor:
+        """Create a supervisor with these options."""
         return Supervisor(
             name, children, self.clock, self.policy, self.give_up
         )
 
 
-def make_tree(
+def make_supervisor_tree(
     steps: tuple[NamedStep, ...],
-    first: tuple[Child, ...],
-    last: tuple[Child, ...],
+    before_loops: tuple[Child, ...],
+    after_loops: tuple[Child, ...],
     options: TreeOptions,
 ) -> Supervisor:
-    """Return the root with a supervisor for each branch of steps.
+    """Create the root supervisor, with one supervisor below per branch.
 
-    :param first: children that start before every loop.
-    :param last: children that start after every loop.
+    :param steps: functions to call in loops, each in its branch.
+    :param before_loops: children that start before all loops.
+    :param after_loops: children that start after all loops.
     """
     steps_by_branch: dict[str, list[NamedStep]] = {}
     for step in steps:
         steps_by_branch.setdefault(step.branch, []).append(step)
     branches: list[Child] = [
-        options.supervisor(
+        options.make_supervisor(
             branch,
             [Loop(item.name, item.step, options.clock) for item in members],
         )
         for branch, members in steps_by_branch.items()
     ]
-    return options.supervisor("entry", [*first, *branches, *last])
+    return options.make_supervisor(
+        "entry", [*before_loops, *branches, *after_loops]
+    )
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats between entry instances and what they show."""
+"""Heartbeats between entry instances and the states they reveal."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from magnoliapitch.membership.table import HEARTBEAT_INTERVAL_MS
 from magnoliapitch.membership.table import MemberTable
 from magnoliapitch.membership.topology import linked_members
-from magnoliapitch.peer.message import Beat
+from magnoliapitch.peer.message import Heartbeat
 from magnoliapitch.peer.message import UnitLoad
 from magnoliapitch.peer.message import ZoneInfo
 
@@ -31,17 +31,21 @@
 
 
 CALL_TIMEOUT_MS = 500
-NEAR_STATES = (MemberState.LIVE, MemberState.LEAVING)
+RESPONSIVE_STATES = (MemberState.LIVE, MemberState.LEAVING)
 
 
 class Membership:
-    """Exchanges heartbeats with the zone and a few peers elsewhere.
+    """Exchanges heartbeats with the own zone and a few remote peers.
 
-    The journal's lock is never taken inside the own one.
+    Lock order: the journal's lock is never acquired while this object's
+    lock is held.
 
+    :param fleet: lists the entry instances to contact, if there is one.
+    :param seed_addresses: ``IP:PORT`` of peers to contact even if not listed.
     :ivar loads: free capacity of the own units, sent with heartbeats.
-    :ivar leaving: whether this instance is going to stop.
-    :ivar rounds: rounds of heartbeats since the first peer answered.
+    :ivar leaving: whether this instance is about to stop.
+    :ivar completed_rounds: number of rounds of heartbeats completed since
+        the first peer was heard.
     """
 
     def __init__(
@@ -55,30 +59,32 @@
         self.identity = identity
         self.loads: tuple[UnitLoad, ...] = ()
         self.leaving = False
-        self.rounds = 0
-        self._own = EntryJoin(*identity)
+        self.completed_rounds = 0
+        self._own_join = EntryJoin(*identity)
         self._journal = journal
         self._clock = clock
         self._fleet = fleet
         self._seed_addresses = seed_addresses
         self._table = MemberTable(identity, fleet)
-        self._turn = 0
+        self._round = 0
         self._lock = threading.Lock()
 
-    def beat(self, addressee: str = "", *, whole_zone: bool = False) -> Beat:
-        """Return the own heartbeat.
+    def own_heartbeat(
+        self, recipient: str = "", *, whole_zone: bool = False
+    ) -> Heartbeat:
+        """Build a heartbeat of this instance.
 
-        :param addressee: incarnation that it is for; it learns when this
-            instance heard it last.
-        :param whole_zone: whether to name every member of the own zone.
+        :param recipient: incarnation of the receiver, empty if unknown; the
+            heartbeat tells it when this instance last heard it.
+        :param whole_zone: whether to list every member of the own zone.
         """
         next_offset = self._journal.next_offset
-        own_zone = self._zone_info(next_offset, self._near())
+        own_zone = self._zone_info(next_offset, self._zone_peers())
         now_ms = self._clock.now_ms()
         with self._lock:
             table = self._table
             table.seen_offset = max(table.seen_offset, next_offset)
-            return Beat(
+            return Heartbeat(
                 self.identity.instance_id,
                 self.identity.incarnation,
                 self.identity.zone,
@@ -86,40 +92,44 @@
                 self._log_age_ms(),
                 self.leaving,
                 self.loads,
-                table.gossip(addressee, now_ms, whole_zone=whole_zone),
+                table.gossip(recipient, now_ms, whole_zone=whole_zone),
                 self.identity.peer_address,
                 table.seen_offset,
                 self._journal.is_complete,
-                (own_zone, *table.reports_in_turn(now_ms)),
+                (own_zone, *table.rotating_zone_reports(now_ms)),
             )
 
-    def receive(self, beat: Beat) -> Beat:
-        """Take in a peer's heartbeat and return the own one."""
-        self._take(beat)
-        return self.beat(beat.incarnation, whole_zone=not beat.complete)
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
+        """Record a peer's heartbeat and return the own one as answer."""
+        self._record_heartbeat(heartbeat)
+        return self.own_heartbeat(
+            heartbeat.incarnation, whole_zone=not heartbeat.complete
+        )
 
     def heartbeat_step(self, link: PeerLink) -> int:
-        """Exchange heartbeats with all that are due, at the same time.
+        """Exchange heartbeats with all peers that are due, concurrently.
 
         :return: milliseconds until the next round.
         """
         started_ms = self._clock.now_ms()
 
-        def take(address: str, answer: Beat) -> None:  # noqa: ARG001
-            self._take(answer, reached_ms=started_ms)
+        def record_answer(address: str, answer: Heartbeat) -> None:  # noqa: ARG001
+            self._record_heartbeat(answer, delivered_ms=started_ms)
 
-        link.heartbeat_all(self._due(started_ms), CALL_TIMEOUT_MS, take)
+        link.heartbeat_all(
+            self._due_heartbeats(started_ms), CALL_TIMEOUT_MS, record_answer
+        )
         with self._lock:
-            self.rounds += self._table.has_contact
+            self.completed_rounds += self._table.has_heard_peer
         elapsed_ms = self._clock.now_ms() - started_ms
         return max(HEARTBEAT_INTERVAL_MS - elapsed_ms, 1)
 
     def peers(self) -> tuple[PeerStatus, ...]:
-        """Return every other member that is not gone."""
+        """Return the status of every other member that has not left."""
         return self._statuses(self._joins())
 
     def live_in_zone(self, zone: str = "") -> tuple[PeerStatus, ...]:
-        """Return the live peers of a zone, by default the own one."""
+        """Return the live peers in a zone, by default in the own zone."""
         wanted = zone or self.identity.zone
         return tuple(
             peer
@@ -128,7 +138,7 @@
         )
 
     def state_of(self, incarnation: str) -> MemberState:
-        """Return the state of any incarnation, also the own one."""
+        """Return the state of an incarnation; the own one is allowed too."""
         if incarnation == self.identity.incarnation:
             return MemberState.LEAVING if self.leaving else MemberState.LIVE
         for peer in self.peers():
@@ -137,38 +147,43 @@
         return MemberState.GONE
 
     def is_superseded(self) -> bool:
-        """Return whether the log names this incarnation as gone."""
+        """Return whether the log records that this incarnation has left."""
         with self._journal.reading() as state:
             own = state.members_by_incarnation.get(self.identity.incarnation)
             return own is not None and own.left
 
     def applied_everywhere(self) -> AppliedEverywhere:
-        """Return up to which offset the log is in force everywhere."""
+        """Return up to which offset all instances have applied the log."""
         peers = self.peers()
         own = self._zone_info(self._journal.next_offset, peers)
         now_ms = self._clock.now_ms()
         with self._lock:
-            reports = {item.zone: item for item in self._table.reports(now_ms)}
+            zone_reports = {
+                item.zone: item for item in self._table.zone_reports(now_ms)
+            }
         silent = [
             peer.join.instance_id
             for peer in peers
-            if peer.join.zone == own.zone and peer.state not in NEAR_STATES
+            if peer.join.zone == own.zone
+            and peer.state not in RESPONSIVE_STATES
         ]
         zones = {peer.join.zone for peer in peers}
-        return applied_everywhere(own, reports, silent, zones)
+        return applied_everywhere(own, zone_reports, silent, zones)
 
-    def reachable(self) -> tuple[tuple[PeerStatus, Beat], ...]:
-        """Return the peers that hear and are heard, with their beats."""
+    def reachable(self) -> tuple[tuple[PeerStatus, Heartbeat], ...]:
+        """Return the live and leaving peers with their last heartbeats."""
         found = []
         for peer in self.peers():
             with self._lock:
-                beat = self._table.contact(peer.join.incarnation).beat
-            if beat is not None and peer.state in NEAR_STATES:
-                found.append((peer, beat))
+                heartbeat = self._table.liveness(
+                    peer.join.incarnation
+                ).heartbeat
+            if heartbeat is not None and peer.state in RESPONSIVE_STATES:
+                found.append((peer, heartbeat))
         return tuple(found)
 
     def dump(self) -> dict[str, object]:
-        """Return the membership's part of the state dump."""
+        """Return the ``membership`` section of the state dump."""
         return {
             "identity": self.identity._asdict(),
             "is_superseded": self.is_superseded(),
@@ -186,12 +201,16 @@
             ],
         }
 
-    def _take(self, beat: Beat, reached_ms: int | None = None) -> None:
+    def _record_heartbeat(
+        self, heartbeat: Heartbeat, delivered_ms: int | None = None
+    ) -> None:
         with self._lock:
-            self._table.take(beat, self._clock.now_ms(), reached_ms)
+            self._table.record_heartbeat(
+                heartbeat, self._clock.now_ms(), delivered_ms
+            )
 
-    def _near(self) -> tuple[PeerStatus, ...]:
-        """Return the peers of the own zone."""
+    def _zone_peers(self) -> tuple[PeerStatus, ...]:
+        """Return the status of the peers in the own zone."""
         zone = self.identity.zone
         return self._statuses(
             [join for join in self._joins() if join.zone == zone]
@@ -203,32 +222,37 @@
             return tuple(self._table.status(join, now_ms) for join in joins)
 
     def _joins(self) -> list[EntryJoin]:
-        """Return the other members, from the log and from heartbeats."""
+        """Return the join records of the other members.
+
+        They come from the log and from heartbeats.
+        """
         with self._journal.reading() as state:
             members = dict(state.members_by_incarnation)
         with self._lock:
             joins = self._table.joins()
-        for name, member in members.items():
+        for incarnation, member in members.items():
             if member.left:
-                joins.pop(name, None)
+                joins.pop(incarnation, None)
             else:
-                joins[name] = member.join
+                joins[incarnation] = member.join
         joins.pop(self.identity.incarnation, None)
         return list(joins.values())
 
-    def _due(self, now_ms: int) -> dict[str, Beat]:
-        """Return the heartbeats of this round by address."""
+    def _due_heartbeats(self, now_ms: int) -> dict[str, Heartbeat]:
+        """Return the heartbeats to send in this round, by address."""
         with self._journal.reading() as state:
             members = dict(state.members_by_incarnation)
         joins = self._joins()
         due: dict[str, str] = {}
         with self._lock:
-            self._turn += 1
+            self._round += 1
             self._table.forget(members, now_ms)
             failing = self._table.failing(now_ms)
-            for join in linked_members(self._own, joins, failing):
-                if self._table.is_due(join, now_ms, self._turn):
-                    self._table.contact(join.incarnation).called_ms = now_ms
+            for join in linked_members(self._own_join, joins, failing):
+                if self._table.is_due(join, now_ms, self._round):
+                    self._table.liveness(
+                        join.incarnation
+                    ).last_called_ms = now_ms
                     due[join.peer_address] = join.incarnation
         known = {join.peer_address for join in joins}
         for address in self._listed_addresses():
@@ -237,11 +261,12 @@
         due.pop(self.identity.peer_address, None)
         due.pop("", None)
         return {
-            address: self.beat(incarnation)
+            address: self.own_heartbeat(incarnation)
             for address, incarnation in due.items()
         }
 
     def _listed_addresses(self) -> tuple[str, ...]:
+        """Return the seeds and the listed instances of the own zone."""
         if self._fleet is None:
             return self._seed_addresses
         listed = self._fleet.of_role(InstanceRole.ENTRY, self.identity.zone)
@@ -251,9 +276,9 @@
         self, next_offset: int, peers: tuple[PeerStatus, ...]
     ) -> ZoneInfo:
         zone = self.identity.zone
-        near = [peer for peer in peers if peer.join.zone == zone]
+        zone_peers = [peer for peer in peers if peer.join.zone == zone]
         return own_zone_info(
-            zone, self.identity.instance_id, next_offset, near
+            zone, self.identity.instance_id, next_offset, zone_peers
         )
 
     def _log_age_ms(self) -> int:
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -1,4 +1,4 @@
-"""Everything that heartbeats have told of other instances."""
+"""State of the other instances as collected from heartbeats."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import TypeVar
 
 from magnoliapitch.journal.record import EntryJoin
-from magnoliapitch.membership.contact import Contact
 from magnoliapitch.membership.instance import InstanceState
+from magnoliapitch.membership.liveness import PeerLiveness
 from magnoliapitch.membership.state import MemberState
 from magnoliapitch.membership.status import PeerStatus
 from magnoliapitch.peer.message import MemberInfo
@@ -22,158 +22,191 @@
     from magnoliapitch.journal.state import Member
     from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
-    from magnoliapitch.peer.message import Beat
+    from magnoliapitch.peer.message import Heartbeat
 
 
 ItemT = TypeVar("ItemT")
 
 HEARTBEAT_INTERVAL_MS = 1_000
-REMOTE_ROUNDS = 2
+ROUNDS_PER_REMOTE_HEARTBEAT = 2
 SUSPECT_AFTER_MS = 2_500
 REMOTE_SUSPECT_AFTER_MS = 6_000
 RELAYED_SUSPECT_AFTER_MS = 15_000
 FORGET_AFTER_MS = 60_000
-GOSSIP_MEMBERS = 3
-GOSSIP_ZONES = 8
-AGE_MAX_MS = 2**32 - 1
+MAX_GOSSIP_MEMBERS = 3
+MAX_GOSSIP_ZONES = 8
+AGE_MAX_MS = 2**32 - 1  # ages are 32-bit integers in messages
 
 
 class MemberTable:
-    """Contacts and zone reports; its user holds a lock around each call.
+    """Liveness of all peers and the newest report of each zone.
 
-    :ivar seen_offset: highest next offset that anyone has heard of.
+    Not thread-safe: callers hold a lock around each call.
+
+    :ivar seen_offset: highest next log offset that any heartbeat named.
     """
 
     def __init__(self, identity: Identity, fleet: Fleet | None) -> None:
         self.seen_offset = 0
         self._identity = identity
         self._fleet = fleet
-        self._contacts_by_incarnation: dict[str, Contact] = {}
+        self._liveness_by_incarnation: dict[str, PeerLiveness] = {}
         self._joins_by_incarnation: dict[str, EntryJoin] = {}
         self._reports_by_zone: dict[str, tuple[int, ZoneInfo]] = {}
-        self._turn = itertools.count()
+        self._rotation = itertools.count()
 
     @property
-    def has_contact(self) -> bool:
-        """Whether any peer was ever heard."""
+    def has_heard_peer(self) -> bool:
+        """Whether any heartbeat has arrived from any peer."""
         return any(
-            contact.beat is not None
-            for contact in self._contacts_by_incarnation.values()
+            liveness.heartbeat is not None
+            for liveness in self._liveness_by_incarnation.values()
         )
 
-    def contact(self, incarnation: str) -> Contact:
-        """Return what is known of an incarnation."""
-        return self._contacts_by_incarnation.setdefault(incarnation, Contact())
+    def liveness(self, incarnation: str) -> PeerLiveness:
+        """Return the liveness of an incarnation, creating it if needed."""
+        return self._liveness_by_incarnation.setdefault(
+            incarnation, PeerLiveness()
+        )
 
-    def take(self, beat: Beat, now_ms: int, reached_ms: int | None) -> None:
-        """Take in a heartbeat.
+    def record_heartbeat(
+        self, heartbeat: Heartbeat, now_ms: int, delivered_ms: int | None
+    ) -> None:
+        """Record a heartbeat and all that it reports of others.
 
-        :param reached_ms: when the sender heard this instance, if the
-            heartbeat answers one.
+        :param delivered_ms: local time at which this instance sent the
+            heartbeat that this one answers, or None.
         """
-        if beat.incarnation == self._identity.incarnation:
+        if heartbeat.incarnation == self._identity.incarnation:
             return
-        contact = self.contact(beat.incarnation)
-        contact.hear(beat, now_ms, self._identity.incarnation)
-        if reached_ms is not None:
-            contact.reached_ms = max(contact.reached_ms, reached_ms)
-        self._joins_by_incarnation[beat.incarnation] = EntryJoin(
-            beat.instance_id, beat.incarnation, beat.zone, beat.peer_address
+        liveness = self.liveness(heartbeat.incarnation)
+        liveness.record_heartbeat(
+            heartbeat, now_ms, self._identity.incarnation
+        )
+        if delivered_ms is not None:
+            liveness.last_delivered_ms = max(
+                liveness.last_delivered_ms, delivered_ms
+            )
+        self._joins_by_incarnation[heartbeat.incarnation] = EntryJoin(
+            heartbeat.instance_id,
+            heartbeat.incarnation,
+            heartbeat.zone,
+            heartbeat.peer_address,
         )
         self.seen_offset = max(
-            self.seen_offset, beat.next_offset, beat.seen_offset
+            self.seen_offset, heartbeat.next_offset, heartbeat.seen_offset
         )
-        for member in beat.members:
-            self._take_member(member, now_ms)
-        for report in beat.zones:
-            self._take_report(report, now_ms)
+        for member in heartbeat.members:
+            self._record_member(member, now_ms)
+        for report in heartbeat.zones:
+            self._record_report(report, now_ms)
 
     def joins(self) -> dict[str, EntryJoin]:
-        """Return who was heard of, by incarnation."""
+        """Return the join records of all known peers, by incarnation."""
         return dict(self._joins_by_incarnation)
 
     def forget(self, members: Mapping[str, Member], now_ms: int) -> None:
-        """Drop who has left, and strangers that are silent.
+        """Drop peers that have left or are silent for too long.
+
+        Silent members of the log keep their liveness entry.
 
-        :param members: incarnations that the log names.
+        :param members: members in the log, by incarnation.
         """
-        for name, contact in tuple(self._contacts_by_incarnation.items()):
-            member = members.get(name)
-            is_left = member is not None and member.left
-            is_silent = now_ms - contact.newest_ms > FORGET_AFTER_MS
-            if is_left or is_silent:
-                self._joins_by_incarnation.pop(name, None)
-            if is_left or (is_silent and member is None):
-                del self._contacts_by_incarnation[name]
+        for incarnation, liveness in tuple(
+            self._liveness_by_incarnation.items()
+        ):
+            member = members.get(incarnation)
+            has_left = member is not None and member.left
+            is_silent = now_ms - liveness.last_seen_ms > FORGET_AFTER_MS
+            if has_left or is_silent:
+                self._joins_by_incarnation.pop(incarnation, None)
+            if has_left or (is_silent and member is None):
+                del self._liveness_by_incarnation[incarnation]
 
     def status(self, join: EntryJoin, now_ms: int) -> PeerStatus:
-        """Return what other parts see of a member."""
-        contact = self.contact(join.incarnation)
-        beat = contact.beat
+        """Return the status of a member."""
+        liveness = self.liveness(join.incarnation)
+        heartbeat = liveness.heartbeat
         return PeerStatus(
             join,
-            self._state(join, contact, now_ms),
-            contact.next_offset,
-            contact.heard_ms if beat else -1,
-            beat.loads if beat else (),
-            self._is_one_way(join, contact, now_ms),
+            self._state(join, liveness, now_ms),
+            liveness.next_offset,
+            liveness.last_heartbeat_ms if heartbeat else -1,
+            heartbeat.loads if heartbeat else (),
+            self._is_one_way(join, liveness, now_ms),
         )
 
-    def is_due(self, join: EntryJoin, now_ms: int, turn: int) -> bool:
-        """Return whether to call a member in this round.
+    def is_due(self, join: EntryJoin, now_ms: int, round_number: int) -> bool:
+        """Return whether to send a member a heartbeat in this round.
 
-        One exchange serves both sides, so of a pair only one calls as
-        long as that works. Links between zones are used in every second
-        round.
+        Each call carries a heartbeat in both directions. Within a zone
+        only the instance with the lower incarnation calls, as long as its
+        calls succeed. Heartbeats to other zones are sent only every
+        second round. Failing links are tried in every round.
         """
-        contact = self.contact(join.incarnation)
-        silent_ms = now_ms - contact.two_way_ms
+        liveness = self.liveness(join.incarnation)
+        silent_ms = now_ms - liveness.last_two_way_ms
         if silent_ms > 2 * HEARTBEAT_INTERVAL_MS:
             return True
         if join.zone != self._identity.zone:
-            return turn % REMOTE_ROUNDS == 0
+            return round_number % ROUNDS_PER_REMOTE_HEARTBEAT == 0
         return self._identity.incarnation < join.incarnation
 
     def failing(self, now_ms: int) -> set[str]:
-        """Return the incarnations that were called and did not answer."""
+        """Return the incarnations that were called without success.
+
+        These have had no two-way contact for ``REMOTE_SUSPECT_AFTER_MS``.
+        """
         return {
-            name
-            for name, contact in self._contacts_by_incarnation.items()
-            if contact.was_called
-            and now_ms - contact.two_way_ms > REMOTE_SUSPECT_AFTER_MS
+            incarnation
+            for incarnation, liveness in self._liveness_by_incarnation.items()
+            if liveness.was_called
+            and now_ms - liveness.last_two_way_ms > REMOTE_SUSPECT_AFTER_MS
         }
 
     def gossip(
-        self, addressee: str, now_ms: int, *, whole_zone: bool
+        self, recipient: str, now_ms: int, *, whole_zone: bool
     ) -> tuple[MemberInfo, ...]:
-        """Return news of the addressee and of some others in turn."""
-        names = list(self._joins_by_incarnation)
+        """Return what to tell a peer about itself and other members.
+
+        :param recipient: incarnation of the peer; comes first if known.
+        :param whole_zone: whether to include the whole own zone rather
+            than a few members that change with each call.
+        """
+        incarnations = list(self._joins_by_incarnation)
         chosen = [
-            name
-            for name in names
-            if self._joins_by_incarnation[name].zone == self._identity.zone
+            incarnation
+            for incarnation in incarnations
+            if self._joins_by_incarnation[incarnation].zone
+            == self._identity.zone
         ]
         if not whole_zone:
-            chosen = _in_turn(names, GOSSIP_MEMBERS, next(self._turn))
-        if addressee in self._joins_by_incarnation:
-            chosen = [addressee, *(n for n in chosen if n != addressee)]
-        return tuple(self._member_info(name, now_ms) for name in chosen)
+            chosen = _rotating_part(
+                incarnations, MAX_GOSSIP_MEMBERS, next(self._rotation)
+            )
+        if recipient in self._joins_by_incarnation:
+            chosen = [recipient, *(n for n in chosen if n != recipient)]
+        return tuple(
+            self._member_info(incarnation, now_ms) for incarnation in chosen
+        )
 
-    def reports(self, now_ms: int) -> list[ZoneInfo]:
+    def zone_reports(self, now_ms: int) -> list[ZoneInfo]:
         """Return the newest report of each other zone with its age."""
         return [
             report._replace(age_ms=min(now_ms - reported_ms, AGE_MAX_MS))
             for reported_ms, report in self._reports_by_zone.values()
         ]
 
-    def reports_in_turn(self, now_ms: int) -> list[ZoneInfo]:
-        """Return some reports of other zones, others with each turn."""
-        return _in_turn(self.reports(now_ms), GOSSIP_ZONES, next(self._turn))
+    def rotating_zone_reports(self, now_ms: int) -> list[ZoneInfo]:
+        """Return a few reports of other zones, different with each call."""
+        return _rotating_part(
+            self.zone_reports(now_ms), MAX_GOSSIP_ZONES, next(self._rotation)
+        )
 
-    def _take_member(self, member: MemberInfo, now_ms: int) -> None:
+    def _record_member(self, member: MemberInfo, now_ms: int) -> None:
         if member.incarnation == self._identity.incarnation:
             return
-        self.contact(member.incarnation).relay(member, now_ms)
+        self.liveness(member.incarnation).record_relayed(member, now_ms)
         self._joins_by_incarnation.setdefault(
             member.incarnation,
             EntryJoin(
@@ -184,67 +217,77 @@
             ),
         )
 
-    def _take_report(self, report: ZoneInfo, now_ms: int) -> None:
+    def _record_report(self, report: ZoneInfo, now_ms: int) -> None:
         if report.zone == self._identity.zone:
             return
         reported_ms = now_ms - report.age_ms
-        known = self._reports_by_zone.get(report.zone)
-        if known is None or known[0] < reported_ms:
+        current = self._reports_by_zone.get(report.zone)
+        if current is None or current[0] < reported_ms:
             self._reports_by_zone[report.zone] = (reported_ms, report)
 
     def _state(
-        self, join: EntryJoin, contact: Contact, now_ms: int
+        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
     ) -> MemberState:
-        if not contact.is_known:
+        if not liveness.was_seen:
             return MemberState.JOINING
-        if not self._is_near(join, contact, now_ms):
+        if not self._is_responsive(join, liveness, now_ms):
             return MemberState.SUSPECT
-        if contact.beat is not None and contact.beat.leaving:
+        if liveness.heartbeat is not None and liveness.heartbeat.leaving:
             return MemberState.LEAVING
         listed = self._fleet.get(join.instance_id) if self._fleet else None
         if listed is not None and listed.state is InstanceState.LEAVING:
             return MemberState.LEAVING
         return MemberState.LIVE
 
-    def _is_near(self, join: EntryJoin, contact: Contact, now_ms: int) -> bool:
-        if now_ms - contact.two_way_ms <= self._bound_ms(join):
+    def _is_responsive(
+        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
+    ) -> bool:
+        if now_ms - liveness.last_two_way_ms <= self._suspect_after_ms(join):
             return True
         if join.zone == self._identity.zone:
             return False
-        if contact.was_called and self._is_one_way(join, contact, now_ms):
+        if liveness.was_called and self._is_one_way(join, liveness, now_ms):
             return False
-        return now_ms - contact.relayed_ms <= RELAYED_SUSPECT_AFTER_MS
+        return now_ms - liveness.last_relayed_ms <= RELAYED_SUSPECT_AFTER_MS
 
     def _is_one_way(
-        self, join: EntryJoin, contact: Contact, now_ms: int
+        self, join: EntryJoin, liveness: PeerLiveness, now_ms: int
     ) -> bool:
-        bound_ms = self._bound_ms(join)
-        is_heard = now_ms - contact.heard_ms <= bound_ms
-        return is_heard and now_ms - contact.reached_ms > bound_ms
+        suspect_after_ms = self._suspect_after_ms(join)
+        is_heard = now_ms - liveness.last_heartbeat_ms <= suspect_after_ms
+        return (
+            is_heard and now_ms - liveness.last_delivered_ms > suspect_after_ms
+        )
 
-    def _bound_ms(self, join: EntryJoin) -> int:
+    def _suspect_after_ms(self, join: EntryJoin) -> int:
         if join.zone == self._identity.zone:
             return SUSPECT_AFTER_MS
         return REMOTE_SUSPECT_AFTER_MS
 
-    def _member_info(self, name: str, now_ms: int) -> MemberInfo:
-        join = self._joins_by_incarnation[name]
-        contact = self.contact(name)
-        is_direct = now_ms - contact.heard_ms <= RELAYED_SUSPECT_AFTER_MS
-        newest_ms = contact.heard_ms if is_direct else contact.newest_ms
+    def _member_info(self, incarnation: str, now_ms: int) -> MemberInfo:
+        join = self._joins_by_incarnation[incarnation]
+        liveness = self.liveness(incarnation)
+        is_direct = (
+            now_ms - liveness.last_heartbeat_ms <= RELAYED_SUSPECT_AFTER_MS
+        )
+        last_seen_ms = (
+            liveness.last_heartbeat_ms if is_direct else liveness.last_seen_ms
+        )
         return MemberInfo(
             join.instance_id,
             join.incarnation,
             join.zone,
             join.peer_address,
-            contact.next_offset,
-            min(now_ms - newest_ms, AGE_MAX_MS),
+            liveness.next_offset,
+            min(now_ms - last_seen_ms, AGE_MAX_MS),
             is_direct,
         )
 
 
-def _in_turn(items: list[ItemT], count: int, turn: int) -> list[ItemT]:
+def _rotating_part(
+    items: list[ItemT], count: int, rotation: int
+) -> list[ItemT]:
     if len(items) <= count:
         return items
-    start = turn * count % len(items)
+    start = rotation * count % len(items)
     return (items + items)[start : start + count]
--- a/src/magnoliapitch/peer/link.py
+++ b/src/magnoliapitch/peer/link.py
@@ -1,4 +1,4 @@
-"""How an entry instance reaches its peers."""
+"""Interfaces for calls to peers and for serving their calls."""
 
 from __future__ import annotations
 
@@ -12,63 +12,71 @@
 
     from result import Result
 
-    from magnoliapitch.peer.message import Beat
     from magnoliapitch.peer.message import ForwardedAnswer
     from magnoliapitch.peer.message import ForwardedRequest
+    from magnoliapitch.peer.message import Heartbeat
     from magnoliapitch.peer.message import LogPage
     from magnoliapitch.peer.message import StateSnapshot
     from magnoliapitch.verdict import Failure
 
 
 class PeerLink(Protocol):
-    """Calls to peers by their ``IP:PORT`` address; safe from any thread."""
+    """Client for calls to peers, addressed by ``IP:PORT``; thread-safe."""
 
     def heartbeat(
-        self, address: str, beat: Beat, timeout_ms: int
-    ) -> Result[Beat, Failure]:
-        """Exchange heartbeats with a peer."""
+        self, address: str, heartbeat: Heartbeat, timeout_ms: int
+    ) -> Result[Heartbeat, Failure]:
+        """Send a heartbeat and return the peer's."""
 
     def heartbeat_all(
         self,
-        beats_by_address: Mapping[str, Beat],
+        heartbeats_by_address: Mapping[str, Heartbeat],
         timeout_ms: int,
-        on_answer: Callable[[str, Beat], None],
+        on_answer: Callable[[str, Heartbeat], None],
     ) -> None:
-        """Exchange heartbeats with many peers at once.
+        """Send heartbeats to many peers concurrently.
 
-        :param on_answer: is called with the address and the answer of each
-            peer as soon as it arrives.
+        :param on_answer: called with a peer's address and its heartbeat as
+            soon as it arrives; not called for peers that fail.
         """
 
     def forward(
         self, address: str, request: ForwardedRequest, timeout_ms: int
     ) -> Result[ForwardedAnswer, Failure]:
-        """Let a peer execute a request."""
+        """Have a peer execute a request."""
 
     def read_log(
         self, address: str, from_offset: int, limit: int, timeout_ms: int
     ) -> Result[LogPage, Failure]:
-        """Fetch log records through a peer."""
+        """Fetch log records from a peer.
+
+        :param from_offset: offset of the first record to return.
+        :param limit: maximum number of records.
+        """
 
     def snapshot(
         self, address: str, timeout_ms: int
     ) -> Result[StateSnapshot, Failure]:
-        """Fetch a peer's encoded fold."""
+        """Fetch the encoded replicated state of a peer."""
 
 
 class PeerHandler(Protocol):
-    """What an entry instance does for its peers."""
+    """Handler of the calls that peers make to an entry instance."""
 
-    def heartbeat(self, beat: Beat) -> Beat:
-        """Take in a peer's heartbeat and return the own one."""
+    def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
+        """Record a peer's heartbeat and return the own one as answer."""
 
     def forward(
         self, request: ForwardedRequest
     ) -> Result[ForwardedAnswer, Failure]:
-        """Execute a forwarded request; runs in a worker thread."""
+        """Execute a forwarded request; called in a pool thread."""
 
     def read_log(self, from_offset: int, limit: int) -> LogPage:
-        """Relay log records."""
+        """Return log records from the local copy.
+
+        :param from_offset: offset of the first record to return.
+        :param limit: maximum number of records.
+        """
 
     def snapshot(self) -> StateSnapshot:
-        """Return the encoded fold."""
+        """Return the encoded replicated state."""
--- a/tests/api/test_job_advice.py
+++ b/tests/api/test_job_advice.py
@@ -20,7 +20,7 @@
 ENTRY = {"name": "term-roster", "owner": "clubs", "work_class": "batch"}
 
 
-def test_job_that_can_never_run_is_refused_with_what_would_help(
+def test_job_that_can_never_run_is_refused_with_a_remedy(
     running: RunningCluster,
 ) -> None:
     _prepare(running, {"queued": 50})
@@ -40,7 +40,7 @@
     assert "'term-roster'" in refused.json()["detail"]
 
 
-def test_job_is_submitted_and_cancelled_once_however_often_asked(
+def test_repeated_submission_and_cancellation_of_a_job_succeed(
     running: RunningCluster,
 ) -> None:
     _prepare(running, {})
@@ -56,10 +56,10 @@
 
 def test_job_that_waits_is_explained(running: RunningCluster) -> None:
     _prepare(running, {})
-    for number in range(4):
-        assert _submit(running, f"job-{number}", 8, 25_000).status == 202
+    for job_number in range(4):
+        assert _submit(running, f"job-{job_number}", 8, 25_000).status == 202
     wait_until(lambda: "free capacity" in _limits(running))
-    assert _get(running, 0, "absent").status == 404
+    assert _get_explanation(running, 0, "absent").status == 404
 
 
 def _prepare(running: RunningCluster, limits: dict[str, int]) -> None:
@@ -75,7 +75,7 @@
 
     wait_until(is_claimed)
     wait_until(
-        lambda: core.desk.choose_unit(
+        lambda: core.job_service.choose_unit(
             JobSpec("j", "term-roster", 1, SMALL)
         ).ok()
     )
@@ -102,19 +102,21 @@
 
 def _limits(running: RunningCluster) -> set[Any]:
     return {
-        _get(running, entry, f"job-{number}").json().get("limit")
+        _get_explanation(running, entry, f"job-{job_number}")
+        .json()
+        .get("limit")
         for entry in range(2)
-        for number in range(4)
+        for job_number in range(4)
     }
 
 
-def _get(
-    running: RunningCluster, number: int, job_id: str
+def _get_explanation(
+    running: RunningCluster, entry_number: int, job_id: str
 ) -> urllib3.BaseHTTPResponse:
-    url = f"{_url(running, number)}/v1/jobs/{job_id}/explanation"
+    url = f"{_url(running, entry_number)}/v1/jobs/{job_id}/explanation"
     return urllib3.request("GET", url, timeout=WAIT_S, retries=False)
 
 
-def _url(running: RunningCluster, number: int) -> str:
-    node = running.cluster.entries[number]
+def _url(running: RunningCluster, entry_number: int) -> str:
+    node = running.cluster.entries[entry_number]
     return f"http://127.0.0.1:{node.caller_listener.port}"
