--- a/src/magnoliapitch/entry/job_service.py
+++ b/src/magnoliapitch/entry/job_service.py
@@ -87,7 +87,7 @@
 
     def choose_unit(self, job: JobSpec) -> Result[str, Failure]:
         """Return the rack with the fewest open tasks that can run a job."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             versioned = state.catalogue_by_name.get(job.entry)
         if versioned is None:
             return Err(
@@ -123,7 +123,7 @@
 
         :param limit: highest number of open tasks of the catalogue entry.
         """
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             waiting = state.open_tasks_by_entry.get(job.entry, 0)
         if waiting + job.tasks <= limit:
             return Ok(unit)
@@ -138,7 +138,7 @@
 
     def _outcome_of_known(self, job: JobSpec) -> Result[None, Failure] | None:
         """Return the outcome for a job whose id is in the log, or None."""
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             known_job = state.jobs_by_id.get(job.job_id)
         if known_job is None:
             return None
@@ -152,7 +152,7 @@
         )
 
     def _is_cancelled(self, job_id: str) -> bool:
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             job = state.jobs_by_id.get(job_id)
             return job is not None and job.cancelled
 
@@ -183,7 +183,7 @@
 
         :return: number of unfinished tasks, then the name of the rack.
         """
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             load_by_unit = {
                 claim.unit: state.open_tasks_by_unit.get(claim.unit, 0)
                 for claim in state.claims_by_unit.values()
--- a/src/magnoliapitch/journal/state.py
+++ b/src/magnoliapitch/journal/state.py
@@ -9,7 +9,7 @@
 from magnoliapitch.catalogue.entry import CatalogueEntry
 from magnoliapitch.job.spec import JobSpec  # noqa: TC001
 from magnoliapitch.job.spec import TaskOutcome  # noqa: TC001
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.journal.record import RequestIntent
 
 
@@ -29,7 +29,7 @@
     """Newest claim on a unit: a rack or a group of backend servers.
 
     :param incarnation: the owner; empty after a release.
-    :param epoch: fencing number, increased by each claim on the unit.
+    :param epoch: fencing token, increased by each claim on the unit.
     :param offset: offset of the claim or of its release.
     :param predecessors: earlier owners that did not release the unit and
         have not left, and so may still act as its owner.
@@ -53,7 +53,7 @@
     :param left: whether the incarnation has stopped for good.
     """
 
-    join: EntryJoin
+    join: MemberJoin
     presence_offset: int
     left: bool = False
 
--- a/src/magnoliapitch/membership/status.py
+++ b/src/magnoliapitch/membership/status.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from magnoliapitch.journal.record import EntryJoin
+from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.membership.state import MemberState
 from magnoliapitch.peer.message import UnitLoad
 
@@ -20,7 +20,7 @@
         from this instance.
     """
 
-    join: EntryJoin
+    join: MemberJoin
     state: MemberState
     next_offset: int
     last_heartbeat_ms: int
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -53,7 +53,7 @@
 ) -> None:
     cluster = make_cluster()
     if code is FailureCode.INVALID:
-        with cluster.cores[0].journal.reading() as state:
+        with cluster.cores[0].journal.locked_state() as state:
             versioned = state.catalogue_by_name["seat-check"]
             state.catalogue_by_name[entry] = versioned._replace(
                 entry=versioned.entry._replace(app="")
@@ -177,7 +177,7 @@
     cluster.put_entry("seat-check", 1, limits=Limits(queued=1))
     cluster.settle()
     pool = cluster.cores[0].router._pool
-    with cluster.cores[0].journal.reading() as state:
+    with cluster.cores[0].journal.locked_state() as state:
         entry = state.catalogue_by_name["seat-check"].entry
     deadline_ms = cluster.clock.now_ms() + PATIENCE_MS
     assert pool.try_acquire(entry) is not None
