--- a/src/magnoliapitch/capacity/plan.py
+++ b/src/magnoliapitch/capacity/plan.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from magnoliapitch.job.channel import BUSY_POLL_INTERVAL_MS
-from magnoliapitch.membership.fleet import REFRESH_INTERVAL_MS
+from magnoliapitch.membership.instance_cache import REFRESH_INTERVAL_MS
 from magnoliapitch.membership.presence import PRESENCE_INTERVAL_MS
 from magnoliapitch.membership.table import HEARTBEAT_INTERVAL_MS
 from magnoliapitch.membership.topology import MAX_REMOTE_LINKS
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -14,8 +14,8 @@
 from magnoliapitch.journal.record import EntryJoin
 from magnoliapitch.journal.record import EntryLeave
 from magnoliapitch.journal.snapshot_writer import SnapshotWriter
-from magnoliapitch.membership.fleet import Fleet
 from magnoliapitch.membership.identity import Identity
+from magnoliapitch.membership.instance_cache import Fleet
 from magnoliapitch.membership.membership import Membership
 from magnoliapitch.membership.presence import MembershipRecorder
 from magnoliapitch.membership.relay import PeerLogSource
--- a/src/magnoliapitch/entry/job_service.py
+++ b/src/magnoliapitch/entry/job_service.py
@@ -24,7 +24,7 @@
     from magnoliapitch.decision.interface import Scheduler
     from magnoliapitch.job.spec import JobSpec
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.fleet import Fleet
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.verdict import Failure
 
 
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -43,7 +43,7 @@
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
-    from magnoliapitch.membership.fleet import Fleet
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.ownership.claimer import Claimer
     from magnoliapitch.ownership.presence_lease import PresenceLease
     from magnoliapitch.worker.pool import WorkerPool
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.membership.status import PeerStatus
     from magnoliapitch.peer.link import PeerLink
 
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -18,7 +18,7 @@
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.pending_entry import PendingEntry
-    from magnoliapitch.membership.fleet import Fleet
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
 
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -20,8 +20,8 @@
     from collections.abc import Mapping
 
     from magnoliapitch.journal.state import Member
-    from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.peer.message import Heartbeat
 
 
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -21,8 +21,8 @@
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.state import Claim
-    from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.membership.membership import Membership
 
 
--- a/src/magnoliapitch/request/peer_selector.py
+++ b/src/magnoliapitch/request/peer_selector.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.fleet import Fleet
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
 
--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -28,7 +28,7 @@
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.fleet import Fleet
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.ownership.claimer import Claimer
     from magnoliapitch.peer.link import PeerLink
--- a/src/magnoliapitch/request/slot_pool.py
+++ b/src/magnoliapitch/request/slot_pool.py
@@ -27,8 +27,8 @@
     from magnoliapitch.backend.client import BackendResponse
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
-    from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.instance import InstanceInfo
+    from magnoliapitch.membership.instance_cache import Fleet
     from magnoliapitch.request.dispatch_fence import DispatchFence
 
 
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_instance_cache.py
@@ -1,8 +1,8 @@
 from __future__ import annotations
 
-from magnoliapitch.membership.fleet import Fleet
 from magnoliapitch.membership.instance import InstanceInfo
 from magnoliapitch.membership.instance import InstanceRole
+from magnoliapitch.membership.instance_cache import Fleet
 from magnoliapitch.standin import StandinInstanceList
 
 
