--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -15,7 +15,7 @@
 from magnoliapitch.journal.record import EntryLeave
 from magnoliapitch.journal.snapshot_writer import SnapshotWriter
 from magnoliapitch.membership.identity import Identity
-from magnoliapitch.membership.instance_cache import Fleet
+from magnoliapitch.membership.instance_cache import InstanceCache
 from magnoliapitch.membership.membership import Membership
 from magnoliapitch.membership.presence import MembershipRecorder
 from magnoliapitch.membership.relay import PeerLogSource
@@ -98,7 +98,7 @@
             f"{settings.address}:{settings.listeners.peer_port}",
         )
         self.metrics = Metrics()
-        self.fleet = Fleet(adapters.instance_list)
+        self.instance_cache = InstanceCache(adapters.instance_list)
         self.journal = Journal(
             adapters.log,
             self.identity.incarnation,
@@ -110,13 +110,13 @@
             self.identity,
             self.journal,
             self.clock,
-            self.fleet,
+            self.instance_cache,
             settings.peer_addresses,
         )
         self.membership_recorder = MembershipRecorder(
             self.membership,
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.clock,
             self._handle_superseded,
         )
@@ -126,13 +126,13 @@
         self.claimer = Claimer(
             self.identity,
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.membership,
             self.clock,
         )
         self.router = Router(
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.claimer,
             self.membership,
             adapters.backends,
@@ -148,10 +148,12 @@
         self.presence_lease = PresenceLease(
             self.identity.incarnation, self.journal, self.clock
         )
-        self.job_service = JobService(self.journal, self.fleet, scheduler)
+        self.job_service = JobService(
+            self.journal, self.instance_cache, scheduler
+        )
         self.job_manager = JobManager(
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.claimer,
             adapters.workers,
             scheduler,
@@ -185,7 +187,7 @@
             ),
             NamedStep("presence", self.membership_recorder.step),
             NamedStep("snapshots", self.snapshot_writer.step, "platform"),
-            NamedStep("fleet", self.fleet.refresh_step, "platform"),
+            NamedStep("fleet", self.instance_cache.refresh_step, "platform"),
             NamedStep("heartbeat", self._heartbeat_step),
             NamedStep("claimer", self.claimer.claim_step),
             NamedStep("hold", self.presence_lease.step),
--- a/src/magnoliapitch/entry/job_service.py
+++ b/src/magnoliapitch/entry/job_service.py
@@ -24,7 +24,7 @@
     from magnoliapitch.decision.interface import Scheduler
     from magnoliapitch.job.spec import JobSpec
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.verdict import Failure
 
 
@@ -38,11 +38,11 @@
     def __init__(
         self,
         journal: Journal,
-        fleet: Fleet,
+        instance_cache: InstanceCache,
         scheduler: Scheduler,
     ) -> None:
         self._journal = journal
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._scheduler = scheduler
         self._cached_shapes_by_unit: dict[str, tuple[WorkerShape, ...]] = {}
         self._cached_generation = -1
@@ -161,11 +161,11 @@
 
         They are cached until the instance list changes.
         """
-        generation = self._fleet.generation
+        generation = self._instance_cache.generation
         if self._cached_generation == generation:
             return self._cached_shapes_by_unit
         found: dict[str, list[WorkerShape]] = {}
-        for worker in self._fleet.of_role(InstanceRole.WORKER):
+        for worker in self._instance_cache.of_role(InstanceRole.WORKER):
             shape = WorkerShape(
                 worker.instance_id, worker.unit, worker.zone, worker.capacity
             )
--- a/src/magnoliapitch/job/manager.py
+++ b/src/magnoliapitch/job/manager.py
@@ -43,7 +43,7 @@
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.state import ClusterState
     from magnoliapitch.journal.state import JobRecord
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.ownership.claimer import Claimer
     from magnoliapitch.ownership.presence_lease import PresenceLease
     from magnoliapitch.worker.pool import WorkerPool
@@ -72,7 +72,7 @@
     def __init__(
         self,
         journal: Journal,
-        fleet: Fleet,
+        instance_cache: InstanceCache,
         claimer: Claimer,
         workers: WorkerPool,
         scheduler: Scheduler,
@@ -83,7 +83,7 @@
         metrics: Metrics | None = None,
     ) -> None:
         self._journal = journal
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._claimer = claimer
         self._workers = workers
         self._scheduler = scheduler
@@ -256,7 +256,7 @@
         return not self._tracker.has_unconfirmed_grant(channel)
 
     def _add_new_workers(self) -> None:
-        for worker in self._fleet.of_role(InstanceRole.WORKER):
+        for worker in self._instance_cache.of_role(InstanceRole.WORKER):
             unit = self._units_by_name.get(worker.unit)
             is_known = worker.instance_id in self._channels_by_worker
             if unit is None or is_known:
@@ -282,7 +282,7 @@
                 continue
             worker_ids = [
                 worker.instance_id
-                for worker in self._fleet.of_role(InstanceRole.WORKER)
+                for worker in self._instance_cache.of_role(InstanceRole.WORKER)
                 if worker.unit == name
             ]
             stopped_since_ms = self._claimer.predecessors_stopped_at_ms(name)
--- a/src/magnoliapitch/membership/instance_cache.py
+++ b/src/magnoliapitch/membership/instance_cache.py
@@ -24,7 +24,7 @@
 _Index = dict["tuple[InstanceRole, str]", "tuple[InstanceInfo, ...]"]
 
 
-class Fleet:
+class InstanceCache:
     """Cached instance list, indexed by id, role and zone.
 
     While the platform cannot be reached, the last list stays in use.
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -25,7 +25,7 @@
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.membership.identity import Identity
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.membership.status import PeerStatus
     from magnoliapitch.peer.link import PeerLink
 
@@ -40,7 +40,8 @@
     Lock order: the journal's lock is never acquired while this object's
     lock is held.
 
-    :param fleet: lists the entry instances to contact, if there is one.
+    :param instance_cache: lists the entry instances to contact, if there is
+        one.
     :param seed_addresses: ``IP:PORT`` of peers to contact even if not listed.
     :ivar loads: free capacity of the own units, sent with heartbeats.
     :ivar leaving: whether this instance is about to stop.
@@ -53,7 +54,7 @@
         identity: Identity,
         journal: Journal,
         clock: Clock,
-        fleet: Fleet | None = None,
+        instance_cache: InstanceCache | None = None,
         seed_addresses: tuple[str, ...] = (),
     ) -> None:
         self.identity = identity
@@ -63,9 +64,9 @@
         self._own_join = EntryJoin(*identity)
         self._journal = journal
         self._clock = clock
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._seed_addresses = seed_addresses
-        self._table = MemberTable(identity, fleet)
+        self._table = MemberTable(identity, instance_cache)
         self._round = 0
         self._lock = threading.Lock()
 
@@ -267,9 +268,11 @@
 
     def _listed_addresses(self) -> tuple[str, ...]:
         """Return the seeds and the listed instances of the own zone."""
-        if self._fleet is None:
+        if self._instance_cache is None:
             return self._seed_addresses
-        listed = self._fleet.of_role(InstanceRole.ENTRY, self.identity.zone)
+        listed = self._instance_cache.of_role(
+            InstanceRole.ENTRY, self.identity.zone
+        )
         return (*self._seed_addresses, *(item.url for item in listed))
 
     def _zone_info(
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -18,7 +18,7 @@
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
     from magnoliapitch.journal.pending_entry import PendingEntry
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
 
@@ -47,13 +47,13 @@
         self,
         membership: Membership,
         journal: Journal,
-        fleet: Fleet,
+        instance_cache: InstanceCache,
         clock: Clock,
         on_superseded: Callable[[], None],
     ) -> None:
         self._membership = membership
         self._journal = journal
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._clock = clock
         self._on_superseded = on_superseded
         self._pending_presence: PendingEntry | None = None
@@ -93,7 +93,7 @@
     def _remove_gone(self, now_ms: int) -> None:
         if (
             self._journal.follower.is_log_unavailable
-            or not self._fleet.is_fresh
+            or not self._instance_cache.is_fresh
         ):
             self._silence_by_incarnation.clear()
             return
@@ -131,7 +131,7 @@
 
         An empty list says nothing about any instance.
         """
-        entries = self._fleet.of_role(InstanceRole.ENTRY)
+        entries = self._instance_cache.of_role(InstanceRole.ENTRY)
         ids = {item.instance_id for item in entries}
         return not ids or instance_id in ids
 
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -21,7 +21,7 @@
 
     from magnoliapitch.journal.state import Member
     from magnoliapitch.membership.identity import Identity
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.peer.message import Heartbeat
 
 
@@ -46,10 +46,12 @@
     :ivar seen_offset: highest next log offset that any heartbeat named.
     """
 
-    def __init__(self, identity: Identity, fleet: Fleet | None) -> None:
+    def __init__(
+        self, identity: Identity, instance_cache: InstanceCache | None
+    ) -> None:
         self.seen_offset = 0
         self._identity = identity
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._liveness_by_incarnation: dict[str, PeerLiveness] = {}
         self._joins_by_incarnation: dict[str, EntryJoin] = {}
         self._reports_by_zone: dict[str, tuple[int, ZoneInfo]] = {}
@@ -234,7 +236,11 @@
             return MemberState.SUSPECT
         if liveness.heartbeat is not None and liveness.heartbeat.leaving:
             return MemberState.LEAVING
-        listed = self._fleet.get(join.instance_id) if self._fleet else None
+        listed = (
+            self._instance_cache.get(join.instance_id)
+            if self._instance_cache
+            else None
+        )
         if listed is not None and listed.state is InstanceState.LEAVING:
             return MemberState.LEAVING
         return MemberState.LIVE
--- a/src/magnoliapitch/ownership/claimer.py
+++ b/src/magnoliapitch/ownership/claimer.py
@@ -22,7 +22,7 @@
     from magnoliapitch.journal.pending_entry import PendingEntry
     from magnoliapitch.journal.state import Claim
     from magnoliapitch.membership.identity import Identity
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.membership.membership import Membership
 
 
@@ -52,13 +52,13 @@
         self,
         identity: Identity,
         journal: Journal,
-        fleet: Fleet,
+        instance_cache: InstanceCache,
         membership: Membership,
         clock: Clock,
     ) -> None:
         self._identity = identity
         self._journal = journal
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._membership = membership
         self._clock = clock
         self._zone_members = ZoneMembers(identity.zone)
@@ -103,7 +103,7 @@
         """Return whether a unit is a rack, which has workers."""
         return any(
             item.unit == unit
-            for item in self._fleet.of_role(InstanceRole.WORKER)
+            for item in self._instance_cache.of_role(InstanceRole.WORKER)
         )
 
     def is_releasing(self, unit: str) -> bool:
@@ -193,7 +193,9 @@
         for role in UNIT_ROLES:
             units = {
                 item.unit
-                for item in self._fleet.of_role(role, self._identity.zone)
+                for item in self._instance_cache.of_role(
+                    role, self._identity.zone
+                )
             }
             target_by_unit = assign_units(units, self._live_instances)
             for unit, target in target_by_unit.items():
--- a/src/magnoliapitch/request/peer_selector.py
+++ b/src/magnoliapitch/request/peer_selector.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
 
@@ -53,12 +53,12 @@
         self,
         journal: Journal,
         membership: Membership,
-        fleet: Fleet,
+        instance_cache: InstanceCache,
         clock: Clock,
     ) -> None:
         self._journal = journal
         self._membership = membership
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._clock = clock
         self._lock = threading.Lock()
         self._table = _CandidateTable(-REFRESH_INTERVAL_MS, {})
@@ -114,7 +114,9 @@
     def _build_candidates(self) -> dict[str, tuple[Candidate, ...]]:
         app_by_unit = {
             server.unit: server.app
-            for server in self._fleet.of_role(InstanceRole.BACKEND_SERVER)
+            for server in self._instance_cache.of_role(
+                InstanceRole.BACKEND_SERVER
+            )
             if server.state is InstanceState.LIVE
         }
         with self._journal.reading() as state:
--- a/src/magnoliapitch/request/router.py
+++ b/src/magnoliapitch/request/router.py
@@ -28,7 +28,7 @@
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.ownership.claimer import Claimer
     from magnoliapitch.peer.link import PeerLink
@@ -49,7 +49,7 @@
     def __init__(
         self,
         journal: Journal,
-        fleet: Fleet,
+        instance_cache: InstanceCache,
         claimer: Claimer,
         membership: Membership,
         backends: BackendClient,
@@ -60,9 +60,11 @@
         self._membership = membership
         self._clock = clock
         self._fence = DispatchFence(journal, claimer, membership, clock)
-        self._pool = SlotPool(fleet, self._fence, clock)
+        self._pool = SlotPool(instance_cache, self._fence, clock)
         self._limits = RequestLimits(membership, clock)
-        peer_selector = PeerSelector(journal, membership, fleet, clock)
+        peer_selector = PeerSelector(
+            journal, membership, instance_cache, clock
+        )
         self._dispatcher = Dispatcher(
             self._pool, peer_selector, backends, link, clock
         )
--- a/src/magnoliapitch/request/slot_pool.py
+++ b/src/magnoliapitch/request/slot_pool.py
@@ -28,7 +28,7 @@
     from magnoliapitch.catalogue.entry import CatalogueEntry
     from magnoliapitch.clock import Clock
     from magnoliapitch.membership.instance import InstanceInfo
-    from magnoliapitch.membership.instance_cache import Fleet
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.request.dispatch_fence import DispatchFence
 
 
@@ -36,9 +36,9 @@
     """Allocates slots to requests, and queues requests while none is free."""
 
     def __init__(
-        self, fleet: Fleet, fence: DispatchFence, clock: Clock
+        self, instance_cache: InstanceCache, fence: DispatchFence, clock: Clock
     ) -> None:
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._fence = fence
         self._clock = clock
         self._lock = threading.Lock()
@@ -173,7 +173,9 @@
         """Return the free slots of a group, less the queued requests."""
         servers = [
             server
-            for server in self._fleet.of_role(InstanceRole.BACKEND_SERVER)
+            for server in self._instance_cache.of_role(
+                InstanceRole.BACKEND_SERVER
+            )
             if server.unit == unit and server.state is InstanceState.LIVE
         ]
         now_ms = self._clock.now_ms()
@@ -193,7 +195,9 @@
         """Return the free slots and queued requests of every usable group."""
         app_by_unit = {
             server.unit: server.app
-            for server in self._fleet.of_role(InstanceRole.BACKEND_SERVER)
+            for server in self._instance_cache.of_role(
+                InstanceRole.BACKEND_SERVER
+            )
         }
         usable_units = self._fence.usable_units() & app_by_unit.keys()
         return tuple(
@@ -228,7 +232,9 @@
         usable_units = self._fence.usable_units()
         return [
             server
-            for server in self._fleet.of_role(InstanceRole.BACKEND_SERVER)
+            for server in self._instance_cache.of_role(
+                InstanceRole.BACKEND_SERVER
+            )
             if server.app == app
             and server.unit in usable_units
             and server.state is InstanceState.LIVE
