--- a/src/magnoliapitch/capacity/roles.py
+++ b/src/magnoliapitch/capacity/roles.py
@@ -15,7 +15,7 @@
 
 
 class Role(NamedTuple):
-    """One task of an entry instance, described for the capacity page.
+    """One function of an entry instance, described for the capacity page.
 
     :param state: description of what it keeps in memory.
     :param messages: description of what it sends and receives.
@@ -242,7 +242,7 @@
 def task_end_entries_per_second(sizing: Sizing) -> float:
     """Return the rate of record entries that report ended tasks.
 
-    Tasks are taken to end as often as they start at the peak.
+    Tasks are assumed to end as often as they start at the peak.
     """
     return sizing.target.starts_per_second / sizing.plan.tasks_per_end_entry
 
--- a/src/magnoliapitch/capacity/target.py
+++ b/src/magnoliapitch/capacity/target.py
@@ -9,7 +9,7 @@
 
 
 class Target(NamedTuple):
-    """Load and limits two years from now.
+    """Load expected within two years, and limits of resource use.
 
     :param starts_per_second: task starts at the peak.
     :param running_tasks: tasks that run at once, services included.
--- a/src/magnoliapitch/console/client.py
+++ b/src/magnoliapitch/console/client.py
@@ -117,7 +117,7 @@
     cause: Exception = error
     if isinstance(error, urllib3.exceptions.MaxRetryError) and error.reason:
         cause = error.reason
-    is_never_sent = isinstance(
+    was_never_sent = isinstance(
         cause,
         (
             urllib3.exceptions.NewConnectionError,
@@ -125,7 +125,7 @@
         ),
     )
     reason = str(cause).rpartition(": ")[2] or repr(cause)
-    if is_never_sent:
+    if was_never_sent:
         return CommandError(
             f"cannot reach {server}: {reason}", ExitCode.UNREACHABLE
         )
--- a/src/magnoliapitch/console/settings.py
+++ b/src/magnoliapitch/console/settings.py
@@ -55,7 +55,7 @@
 
 
 def read_settings(file: Path) -> Settings:
-    """Read the settings file of an entry instance.
+    """Read the settings of an instance that follows the platform's log.
 
     :raises CommandError: if the file cannot be read or is not valid.
     """
--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -70,7 +70,7 @@
 
 
 class EntryCore:
-    """State and behaviour of one entry instance.
+    """State and behaviour of an entry instance that follows the log.
 
     It starts no threads itself: its user calls the functions that
     :meth:`steps` returns.
@@ -78,7 +78,7 @@
     :param link: client for calls to peers.
     :param runner: runs calls to workers.
     :ivar on_superseded: called when the log says that this incarnation has
-        left, because another one replaced it or it was taken as gone.
+        left, because another one replaced it or it was considered gone.
     """
 
     def __init__(
@@ -290,7 +290,7 @@
         }
 
     def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Record a peer's heartbeat and return the own one as answer."""
+        """Record a peer's heartbeat and answer with one of this instance."""
         return self.membership.handle_heartbeat(heartbeat)
 
     def forward(
--- a/src/magnoliapitch/entry/job_node.py
+++ b/src/magnoliapitch/entry/job_node.py
@@ -74,7 +74,12 @@
 
 
 class JobNode:
-    """Entry instance: its components under a supervisor.
+    """Entry instance that schedules jobs kept in a shared store.
+
+    It runs its components under a supervisor, and is chosen if the settings
+    file holds :class:`ClusterSettings`.
+    :class:`~magnoliapitch.entry.node.EntryNode` is the kind that shares its
+    state through the platform's log.
 
     :param give_up: called when a component fails too often.
     """
@@ -100,7 +105,7 @@
             self._health,
             random.Random(),
             lambda: (
-                self._desk.configuration() is not None
+                self._job_api.configuration() is not None
                 and not self._is_draining
             ),
             _claim_delay_ms(settings.machine),
@@ -109,7 +114,7 @@
         self._submitter = Submitter(
             store, JOB_STREAM, producer, self._clock, self._health
         )
-        self._desk = JobApi(
+        self._job_api = JobApi(
             self._states,
             self._submitter,
             self._refresh_states,
@@ -137,7 +142,7 @@
                 keep_states_ms=settings.leases.keep_states_ms,
             ),
             self._clock,
-            self._desk.configuration,
+            self._job_api.configuration,
             lambda post: JobFollower(store, self._clock, self._health, post),
             self._metrics,
         )
@@ -161,7 +166,7 @@
         """
         log_event("entry-stopping")
         self._is_draining = True
-        self._desk.close()
+        self._job_api.close()
         self._driver.stop()
         self._members.leave()
         time.sleep(LOAD_BALANCER_DELAY_MS / 1000)
@@ -172,7 +177,7 @@
         """Return whether the instance can serve callers."""
         return (
             not self._is_draining
-            and self._desk.configuration() is not None
+            and self._job_api.configuration() is not None
             and self._leadership.has_loaded
             and not self._health.is_down()
         )
@@ -222,7 +227,7 @@
             Listener(
                 "callers",
                 _address(listen.callers),
-                job_application(self._desk, BODY_MAX_BYTES),
+                job_application(self._job_api, BODY_MAX_BYTES),
                 CALLER_THREADS,
                 STOP_TIMEOUT_S,
                 HttpLimits(body_max_bytes=BODY_MAX_BYTES),
@@ -254,10 +259,10 @@
         return 0
 
     def _configure(self, configuration: Configuration) -> None:
-        old = self._desk.configuration()
+        old = self._job_api.configuration()
         if old is not None and configuration.version <= old.version:
             return
-        self._desk.configure(configuration)
+        self._job_api.configure(configuration)
         self._driver.post(ConfigurationChanged())
         log_event(
             "configuration-applied",
--- a/src/magnoliapitch/entry/node.py
+++ b/src/magnoliapitch/entry/node.py
@@ -34,7 +34,12 @@
 
 
 class EntryNode:
-    """One entry instance with its threads and listeners.
+    """Entry instance that shares its state through the platform's log.
+
+    It runs an :class:`EntryCore` with threads and listeners, and is chosen
+    if the settings file holds :class:`Settings`.
+    :class:`~magnoliapitch.entry.job_node.JobNode` is the kind that keeps its
+    jobs in a shared store.
 
     :param give_up: called when a component fails too often, or when the log
         says that this incarnation has left.
--- a/src/magnoliapitch/membership/instance_cache.py
+++ b/src/magnoliapitch/membership/instance_cache.py
@@ -43,7 +43,7 @@
         self._was_fresh: bool | None = None
 
     def refresh_step(self) -> int:
-        """Fetch the list.
+        """Fetch the list and update the cache if the fetch succeeds.
 
         :return: milliseconds until the next refresh.
         """
--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -101,7 +101,7 @@
             )
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Record a peer's heartbeat and return the own one as answer."""
+        """Record a peer's heartbeat and answer with one of this instance."""
         self._record_heartbeat(heartbeat)
         return self.own_heartbeat(
             heartbeat.incarnation, whole_zone=not heartbeat.complete
@@ -139,7 +139,7 @@
         )
 
     def state_of(self, incarnation: str) -> MemberState:
-        """Return the state of an incarnation; the own one is allowed too."""
+        """Return the state of an incarnation, also of this instance's own."""
         if incarnation == self.identity.incarnation:
             return MemberState.LEAVING if self.leaving else MemberState.LIVE
         for peer in self.peers():
@@ -285,7 +285,7 @@
         )
 
     def _log_age_ms(self) -> int:
-        read_ms = self._journal.last_caught_up_ms
-        if read_ms is None:
+        caught_up_ms = self._journal.last_caught_up_ms
+        if caught_up_ms is None:
             return AGE_MAX_MS
-        return min(self._clock.now_ms() - read_ms, AGE_MAX_MS)
+        return min(self._clock.now_ms() - caught_up_ms, AGE_MAX_MS)
--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -32,7 +32,7 @@
 class MembershipRecorder:
     """Appends presence records, and leave records for members now gone.
 
-    A member is taken as gone if the platform lists entry instances but not
+    A member is considered gone if the platform lists entry instances but not
     this one, and it has sent no heartbeat and appended no record for
     ``GONE_AFTER_MS``, or ``REMOTE_GONE_AFTER_MS`` in another zone. If it
     comes back nevertheless, the log shows that its incarnation has left,
--- a/src/magnoliapitch/membership/state.py
+++ b/src/magnoliapitch/membership/state.py
@@ -9,7 +9,7 @@
     """State of an entry instance as seen by another one.
 
     ``JOINING`` members are in the log but were never heard; ``SUSPECT``
-    ones have had no recent contact in both directions. ``GONE`` ones have
+    ones lack recent contact in at least one direction. ``GONE`` ones have
     left or are unknown.
     """
 
--- a/src/magnoliapitch/membership/table.py
+++ b/src/magnoliapitch/membership/table.py
@@ -39,7 +39,7 @@
 
 
 class MemberTable:
-    """Liveness of all peers and the newest report of each zone.
+    """Liveness of all peers and the newest report of each other zone.
 
     Not thread-safe: callers hold a lock around each call.
 
--- a/src/magnoliapitch/peer/link.py
+++ b/src/magnoliapitch/peer/link.py
@@ -64,7 +64,7 @@
     """Handler of the calls that peers make to an entry instance."""
 
     def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Record a peer's heartbeat and return the own one as answer."""
+        """Record a peer's heartbeat and answer with one of this instance."""
 
     def forward(
         self, request: ForwardedRequest
--- a/src/magnoliapitch/spec/claim.py
+++ b/src/magnoliapitch/spec/claim.py
@@ -1,4 +1,4 @@
-"""Model of a change of the instance that owns workers, for model checking.
+"""Model of workers that pass to a new owner, for model checking.
 
 The model covers claim leases, task grants and worker restarts. It has two
 variants. In the first, one worker has room for one task and each owner wants
@@ -105,16 +105,16 @@
     ) -> Iterator[Transition]:
         worker = state.workers[worker_index]
         if worker.now < self._bounds.max_clock_ticks[worker_index]:
-            next_state = _advance_clock(worker)
+            next_worker = _advance_clock(worker)
             yield (
                 f"tick {worker_index}",
-                self._with_worker(state, worker_index, next_state),
+                self._with_worker(state, worker_index, next_worker),
             )
         if worker.boot < self._bounds.max_restarts:
-            next_state = Worker(0, worker.boot + 1)
+            next_worker = Worker(0, worker.boot + 1)
             yield (
                 f"restart {worker_index}",
-                self._with_worker(state, worker_index, next_state),
+                self._with_worker(state, worker_index, next_worker),
             )
 
     def _claim_steps(
--- a/src/magnoliapitch/spec/claim_state.py
+++ b/src/magnoliapitch/spec/claim_state.py
@@ -36,8 +36,8 @@
         once the first has ended.
     :param settles_on_all_workers: a task that an earlier owner may have
         started waits until the new owner has settled on every worker.
-    :param adopts_listed_tasks: a new owner counts a task that a worker lists
-        as its own attempt.
+    :param adopts_listed_tasks: a new owner treats a task that it finds listed
+        on a worker as its own attempt.
     """
 
     stops_on_higher_epoch: bool = True
@@ -97,8 +97,8 @@
 
     :param boot: boot of the worker.
     :param claim_key: key of the owner's claim lease on the worker.
-    :param settled_at: worker time from which the worker lists every task
-        lease that an earlier owner can still have granted.
+    :param settled_at: time of the worker's clock from which on every
+        unexpired task lease of an earlier owner is listed on the worker.
     :param was_settled: whether that time had come when the owner last saw
         its claim lease on the worker.
     """
--- a/src/magnoliapitch/spec/state_machine.py
+++ b/src/magnoliapitch/spec/state_machine.py
@@ -265,7 +265,10 @@
             )
         if not self._guards.waits_for_peer_offset and not instance.is_serving:
             serving = instance._replace(is_serving=True)
-            yield "serve cold", _with_instance(world, index, serving)
+            yield (
+                "serve without catching up",
+                _with_instance(world, index, serving),
+            )
 
     def _follow_log_steps(
         self, world: World, index: int
--- a/src/magnoliapitch/spec/ticket.py
+++ b/src/magnoliapitch/spec/ticket.py
@@ -152,7 +152,7 @@
             yield f"proceed {index}", _route_to_holder(idle, index, mutant)
         if mutant is Mutant.DISPATCH_BEFORE_APPLYING:
             yield (
-                f"hurry {index}",
+                f"skip the wait {index}",
                 state.with_instance(index, phase=Phase.READY),
             )
     if instance.phase is Phase.READY:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -116,8 +116,8 @@
 ) -> None:
     group.add("a")
     old = group.add("b")
-    retired: list[str] = []
-    old.on_superseded = lambda: retired.append("b")
+    superseded: list[str] = []
+    old.on_superseded = lambda: superseded.append("b")
     group.run(3_000)
     group.kill("b")
     group.add("b")
@@ -126,7 +126,7 @@
     group.cores["old"] = old
     group.run(2_000)
     assert old.membership.is_superseded()
-    assert retired == ["b"]
+    assert superseded == ["b"]
     assert not old.is_ready()
     assert old.refusal() is not None
 
