--- a/src/magnoliapitch/membership/presence.py
+++ b/src/magnoliapitch/membership/presence.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from magnoliapitch.event import log_event
-from magnoliapitch.journal.record import EntryLeave
-from magnoliapitch.journal.record import EntryPresence
+from magnoliapitch.journal.record import MemberLeave
+from magnoliapitch.journal.record import MemberPresence
 from magnoliapitch.membership.instance import InstanceRole
 from magnoliapitch.membership.state import MemberState
 from magnoliapitch.membership.topology import stable_hash
@@ -17,7 +17,7 @@
 
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.membership.membership import Membership
     from magnoliapitch.membership.status import PeerStatus
@@ -56,9 +56,9 @@
         self._instance_cache = instance_cache
         self._clock = clock
         self._on_superseded = on_superseded
-        self._pending_presence: PendingEntry | None = None
+        self._pending_presence: PendingRecordEntry | None = None
         self._presence_queued_ms = clock.now_ms()
-        self._pending_leaves_by_incarnation: dict[str, PendingEntry] = {}
+        self._pending_leaves_by_incarnation: dict[str, PendingRecordEntry] = {}
         # Start of the silence in local time, and the offset of the newest
         # record of the member at that time.
         self._silence_by_incarnation: dict[str, tuple[int, int]] = {}
@@ -86,7 +86,7 @@
             return
         incarnation = self._membership.identity.incarnation
         self._pending_presence = self._journal.enqueue(
-            EntryPresence(incarnation)
+            MemberPresence(incarnation)
         )
         self._presence_queued_ms = now_ms
 
@@ -105,7 +105,7 @@
 
     def _is_confirmed_gone(self, peer: PeerStatus, now_ms: int) -> bool:
         incarnation = peer.join.incarnation
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             member = state.members_by_incarnation.get(incarnation)
         if member is None:
             return False
@@ -168,5 +168,5 @@
             if item.outcome is None
         }
         self._pending_leaves_by_incarnation[incarnation] = (
-            self._journal.enqueue(EntryLeave(incarnation))
+            self._journal.enqueue(MemberLeave(incarnation))
         )
--- a/src/magnoliapitch/request/peer_selector.py
+++ b/src/magnoliapitch/request/peer_selector.py
@@ -119,7 +119,7 @@
             )
             if server.state is InstanceState.LIVE
         }
-        with self._journal.reading() as state:
+        with self._journal.locked_state() as state:
             owner_by_unit = {
                 unit: state.claims_by_unit[unit].incarnation
                 for unit in app_by_unit
--- a/tests/history/simulation.py
+++ b/tests/history/simulation.py
@@ -46,7 +46,7 @@
     import numpy as np
 
     from magnoliapitch.journal.log import LogSlice
-    from magnoliapitch.journal.pending_entry import PendingEntry
+    from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
     from magnoliapitch.membership.instance import InstanceInfo
     from magnoliapitch.verdict import Failure
     from magnoliapitch.worker.lease import LeaseGrant
@@ -99,12 +99,12 @@
     ) -> Result[LogSlice, Failure]:
         if self.is_log_unreachable:
             return Err(UNREACHABLE)
-        return self.simulation.cell.log.read(from_offset, limit)
+        return self.simulation.cluster.log.read(from_offset, limit)
 
     def instances(self) -> Result[tuple[InstanceInfo, ...], Failure]:
         if self.is_log_unreachable:
             return Err(UNREACHABLE)
-        return self.simulation.cell.instance_list.instances()
+        return self.simulation.cluster.instance_list.instances()
 
 
 class FaultyWorkers:
@@ -114,7 +114,7 @@
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
-        self._workers = environment.simulation.cell.workers
+        self._workers = environment.simulation.cluster.workers
 
     def view(self, worker: InstanceInfo) -> Result[WorkerView, Failure]:
         return self._call(worker, lambda: self._workers.view(worker))
@@ -204,17 +204,17 @@
         shape = ClusterShape(
             ZONES, "app", CAPACITY, WORKERS_PER_ZONE, backends_per_zone=1
         )
-        self.cell = StandinCluster(shape, self.clock)
+        self.cluster = StandinCluster(shape, self.clock)
         self.network = StandinNetwork()
         self.instances_by_id: dict[str, SimulatedInstance] = {}
         self.paused: set[str] = set()
         self.delayed_calls: list[DelayedCall] = []
         self.appended_ms: list[int] = []
         self._offset_by_instance_id: dict[str, int] = {}
-        self.pending: list[tuple[PendingEntry, JobSpec]] = []
+        self.pending: list[tuple[PendingRecordEntry, JobSpec]] = []
         self.events: list[Event] = [
             WorkerCapacityReported(0, info.instance_id, info.capacity)
-            for info in self.cell.instance_list.by_id.values()
+            for info in self.cluster.instance_list.by_id.values()
             if info.role is InstanceRole.WORKER
         ]
         for zone in ZONES:
@@ -223,7 +223,7 @@
         self._publish_default_entry()
 
     def append(self, data: bytes) -> Result[int, Failure]:
-        outcome = self.cell.log.append(data)
+        outcome = self.cluster.log.append(data)
         refused = (
             isinstance(outcome, Err)
             and outcome.err_value.verdict is Verdict.NOT_RUN
@@ -250,7 +250,7 @@
         workers = FaultyWorkers(environment)
         core = EntryCore(
             settings,
-            Adapters(environment, environment, workers, self.cell.backends),
+            Adapters(environment, environment, workers, self.cluster.backends),
             self.network.link(address),
             self.clock,
         )
@@ -346,12 +346,12 @@
 
     def all_jobs_done(self) -> bool:
         core = next(iter(self.instances_by_id.values())).core
-        with core.journal.reading() as state:
+        with core.journal.locked_state() as state:
             return all(job.is_done for job in state.jobs_by_id.values())
 
     def history(self) -> list[Event]:
         events = [*self.events, *self._events_from_log()]
-        for worker in self.cell.workers.by_id.values():
+        for worker in self.cluster.workers.by_id.values():
             worker.reserved()
             events += worker.events
         return events
@@ -368,7 +368,7 @@
 
     def _record_offset(self, name: str) -> None:
         journal = self.instances_by_id[name].core.journal
-        with journal.reading() as state:
+        with journal.locked_state() as state:
             versions = tuple(
                 (key, item.version)
                 for key, item in sorted(state.catalogue_by_name.items())
@@ -386,7 +386,7 @@
         """Replay the log and return task ends and cancellations in it."""
         state = ClusterState()
         events: list[Event] = []
-        records = self.cell.log.read(0, 10**6).unwrap().records
+        records = self.cluster.log.read(0, 10**6).unwrap().records
         for record in records:
             outcome = apply_record(state, record)
             at_ms = self.appended_ms[record.offset]
--- a/tests/journal/test_replication_faults.py
+++ b/tests/journal/test_replication_faults.py
@@ -21,7 +21,7 @@
 from magnoliapitch.journal import encode_record
 from magnoliapitch.journal.exceptions import DamagedRecordError
 from magnoliapitch.journal.log import LogRecord
-from magnoliapitch.journal.pending_entry import PendingEntry
+from magnoliapitch.journal.pending_record_entry import PendingRecordEntry
 from magnoliapitch.journal.record import CatalogueDelete
 from magnoliapitch.journal.record import CataloguePut
 from magnoliapitch.journal.snapshot import state_digest
@@ -41,14 +41,14 @@
 NAMES = ("a", "b", "c")
 ENTRIES = ("x", "y")
 SNAPSHOT_INTERVAL_RECORDS = 12
-HEAL_MS = 40_000
+CONVERGENCE_MAX_MS = 40_000
 
 
 class Write(NamedTuple):
     """Enqueued change of the catalogue, identified by its unique owner."""
 
     owner: str
-    pending: PendingEntry
+    pending: PendingRecordEntry
     core: EntryCore
 
 
@@ -88,7 +88,7 @@
     def put(self, name: str, entry: str, expected: int | None) -> None:
         journal = self.group.cores[name].journal
         owner = f"w{len(self.writes)}"
-        with journal.reading() as state:
+        with journal.locked_state() as state:
             found = state.catalogue_by_name.get(entry)
         version = expected if expected is not None else 0
         if expected is None and found is not None:
@@ -99,7 +99,7 @@
         pending = journal.enqueue(change)
         self.writes.append(Write(owner, pending, self.group.cores[name]))
 
-    def operate(self, entry: str, version: int) -> None:
+    def operator_put(self, entry: str, version: int) -> None:
         change = CataloguePut(
             CatalogueEntry(entry, "operator", WorkClass.BATCH), version
         )
@@ -140,7 +140,7 @@
             core.journal.is_complete and core.journal.next_offset >= oldest
             for core in self.group.cores.values()
         )
-        self.run(HEAL_MS)
+        self.run(CONVERGENCE_MAX_MS)
         for core in self.group.cores.values():
             core.journal.follow_step()
         self.check()
@@ -152,7 +152,7 @@
     def check(self) -> None:
         for core in self.group.cores.values():
             name = core.identity.incarnation
-            with core.journal.reading() as state:
+            with core.journal.locked_state() as state:
                 digest = state_digest(state)
                 versions = {
                     entry: found.version
@@ -218,7 +218,7 @@
 RUN = st.tuples(st.just("run"), st.sampled_from((500, 500, 1_000, 4_000)))
 PUT = st.tuples(st.just("put"), INSTANCE, ENTRY, st.sampled_from((None, 0)))
 FAULT = st.one_of(
-    st.tuples(st.just("operate"), ENTRY, st.integers(0, 3)),
+    st.tuples(st.just("operator put"), ENTRY, st.integers(0, 3)),
     st.tuples(st.just("delete"), ENTRY),
     st.tuples(st.just("damage"), st.text(max_size=20)),
     st.tuples(st.just("lose"), INSTANCE, st.integers(1, 3)),
