--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -94,7 +94,7 @@
         return self.process.wait(30)
 
 
-class Deployment:
+class ProcessCluster:
     """Stand-in platform in this process, entry instances in others."""
 
     def __init__(self, folder: Path) -> None:
@@ -131,7 +131,7 @@
 
 
 @pytest.fixture
-def deployment(tmp_path: Path) -> Iterator[Deployment]:
-    deployment = Deployment(tmp_path)
-    yield deployment
-    deployment.stop()
+def process_cluster(tmp_path: Path) -> Iterator[ProcessCluster]:
+    process_cluster = ProcessCluster(tmp_path)
+    yield process_cluster
+    process_cluster.stop()
--- a/tests/process/test_exit.py
+++ b/tests/process/test_exit.py
@@ -14,15 +14,15 @@
 if TYPE_CHECKING:
     import pytest
 
-    from tests.process.conftest import Deployment
+    from tests.process.conftest import ProcessCluster
 
 DEV_END_TIMEOUT_S = 60
 
 
 def test_entry_drains_and_exits_with_0_on_sigterm(
-    deployment: Deployment,
+    process_cluster: ProcessCluster,
 ) -> None:
-    entry = deployment.add_entry("xela-norte")
+    entry = process_cluster.add_entry("xela-norte")
     entry.wait_ready()
     urllib3.request("POST", f"{entry.admin_url}/v1/drain")
     refused = urllib3.request("POST", f"{entry.url}/v1/requests/x")
@@ -31,12 +31,12 @@
 
 
 def test_entry_names_a_port_in_use_and_exits_with_71(
-    deployment: Deployment, capfd: pytest.CaptureFixture[str]
+    process_cluster: ProcessCluster, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    first = deployment.add_entry("xela-norte")
+    first = process_cluster.add_entry("xela-norte")
     first.wait_ready()
     port = int(first.url.rpartition(":")[2])
-    second = deployment.add_entry("xela-norte", caller_port=port)
+    second = process_cluster.add_entry("xela-norte", caller_port=port)
     assert second.process.wait(30) == 71
     error = capfd.readouterr().err
     expected = f"cannot start: callers: cannot listen on 127.0.0.1:{port}: "
@@ -46,20 +46,20 @@
 
 
 def test_entry_names_an_adapter_or_policy_that_is_unknown(
-    deployment: Deployment, capfd: pytest.CaptureFixture[str]
+    process_cluster: ProcessCluster, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    entry = deployment.add_entry("xela-norte", policy="fastest")
+    entry = process_cluster.add_entry("xela-norte", policy="fastest")
     assert entry.process.wait(30) == 65
     assert "fastest" in capfd.readouterr().err
 
 
 def test_entry_starts_while_the_platform_is_away_and_is_not_ready(
-    deployment: Deployment, tmp_path: Path
+    process_cluster: ProcessCluster, tmp_path: Path
 ) -> None:
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         url = f"http://127.0.0.1:{unused.getsockname()[1]}"
-        entry = deployment.add_entry("xela-norte", platform_url=url)
+        entry = process_cluster.add_entry("xela-norte", platform_url=url)
         entry.wait_status("/v1/health", 200)
         entry.wait_status("/v1/ready", 503)
     assert entry.stop() == 0
--- a/tests/process/test_path.py
+++ b/tests/process/test_path.py
@@ -9,7 +9,7 @@
 
 
 if TYPE_CHECKING:
-    from tests.process.conftest import Deployment
+    from tests.process.conftest import ProcessCluster
 
 
 ENTRIES = (
@@ -25,14 +25,14 @@
 
 
 def test_path_serves_a_request_and_a_job_through_processes(
-    deployment: Deployment,
+    process_cluster: ProcessCluster,
 ) -> None:
-    for zone in deployment.cluster.shape.zones:
-        deployment.add_entry(zone)
-    for entry in deployment.entries:
+    for zone in process_cluster.cluster.shape.zones:
+        process_cluster.add_entry(zone)
+    for entry in process_cluster.entries:
         entry.wait_ready()
-    _put_catalogue_entries(deployment.entries[0].admin_url)
-    for entry in deployment.entries:
+    _put_catalogue_entries(process_cluster.entries[0].admin_url)
+    for entry in process_cluster.entries:
         answer = _call_until_ok(
             "POST", f"{entry.url}/v1/requests/seat-check", b"x"
         )
@@ -43,9 +43,9 @@
         "tasks": 3,
         "resources": {"cpu_millis": 1_000},
     }
-    url = f"{deployment.entries[1].url}/v1/jobs"
+    url = f"{process_cluster.entries[1].url}/v1/jobs"
     assert _call_until_ok("POST", url, orjson.dumps(job)).status == 202
-    _wait_until_done(f"{deployment.entries[2].url}/v1/jobs/roster")
+    _wait_until_done(f"{process_cluster.entries[2].url}/v1/jobs/roster")
 
 
 def _put_catalogue_entries(admin_url: str) -> None:
--- a/tests/process/test_request_fault.py
+++ b/tests/process/test_request_fault.py
@@ -20,8 +20,8 @@
 
 
 if TYPE_CHECKING:
-    from tests.process.conftest import Deployment
     from tests.process.conftest import EntryProcess
+    from tests.process.conftest import ProcessCluster
 
 
 CALLERS = 6
@@ -104,11 +104,11 @@
 
 
 def test_request_guarantees_hold_while_entries_are_killed_and_paused(
-    deployment: Deployment,
+    process_cluster: ProcessCluster,
 ) -> None:
-    for zone in (*deployment.cluster.shape.zones, "xela-norte"):
-        deployment.add_entry(zone)
-    entries = deployment.entries
+    for zone in (*process_cluster.cluster.shape.zones, "xela-norte"):
+        process_cluster.add_entry(zone)
+    entries = process_cluster.entries
     for entry in entries:
         entry.wait_ready()
     url = f"{entries[0].admin_url}/v1/catalogue/fee-match"
@@ -119,13 +119,13 @@
         kind = ExecutionStarted if is_start else ExecutionEnded
         events.append(kind(request_id, server))
 
-    deployment.cluster.backends.observer = observe
-    deployment.cluster.backends.duration_ms = 20
+    process_cluster.cluster.backends.observer = observe
+    process_cluster.cluster.backends.duration_ms = 20
     callers = [Caller(n, entries, events) for n in range(CALLERS)]  # type: ignore[arg-type]
     threads = [threading.Thread(target=caller.run) for caller in callers]
     for thread in threads:
         thread.start()
-    _inject_faults(deployment)
+    _inject_faults(process_cluster)
     for thread in threads:
         thread.join(WAIT_S)
         assert not thread.is_alive()
@@ -136,24 +136,27 @@
     assert results
 
 
-def _inject_faults(deployment: Deployment) -> None:
+def _inject_faults(process_cluster: ProcessCluster) -> None:
     servers = [
         info.instance_id
-        for info in deployment.cluster.instance_list.by_id.values()
+        for info in process_cluster.cluster.instance_list.by_id.values()
         if info.app
     ]
     for server in servers[::3]:
-        deployment.cluster.backends.add_fault(server, BackendFault.REFUSE)
-        deployment.cluster.backends.add_fault(
+        process_cluster.cluster.backends.add_fault(server, BackendFault.REFUSE)
+        process_cluster.cluster.backends.add_fault(
             server, BackendFault.TRUNCATE_ANSWER
         )
-    paused, killed = deployment.entries[1].process, deployment.entries[2]
+    paused, killed = (
+        process_cluster.entries[1].process,
+        process_cluster.entries[2],
+    )
     time.sleep(0.3)
     paused.send_signal(signal.SIGSTOP)
     time.sleep(0.5)
     killed.process.kill()
-    deployment.cluster.log.down = True
+    process_cluster.cluster.log.down = True
     time.sleep(1)
     paused.send_signal(signal.SIGCONT)
     time.sleep(0.5)
-    deployment.cluster.log.down = False
+    process_cluster.cluster.log.down = False
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from tests.process.conftest import Deployment
     from tests.process.conftest import EntryProcess
+    from tests.process.conftest import ProcessCluster
 
 
 REQUESTS_IN_FLIGHT = 100
@@ -31,14 +31,14 @@
 
 
 def test_shutdown_cuts_off_none_of_100_requests_in_flight(
-    deployment: Deployment,
+    process_cluster: ProcessCluster,
 ) -> None:
-    entry = deployment.add_entry("xela-norte")
+    entry = process_cluster.add_entry("xela-norte")
     entry.wait_ready()
     url = f"{entry.admin_url}/v1/catalogue/seat-check"
     assert urllib3.request("PUT", url, json=ENTRY).status == 200
     _wait_until(lambda: _post(entry, "warm").status == 200)
-    deployment.cluster.backends.duration_ms = DURATION_MS
+    process_cluster.cluster.backends.duration_ms = DURATION_MS
     answers: dict[int, urllib3.BaseHTTPResponse] = {}
 
     def call(number: int) -> None:
@@ -65,7 +65,7 @@
     for number in range(REQUESTS_IN_FLIGHT):
         assert answers[number].status == 200, answers[number].data
         assert answers[number].json()["echo"] == f"seat {number}"
-    bodies = [run.body for run in deployment.cluster.backends.history]
+    bodies = [run.body for run in process_cluster.cluster.backends.history]
     assert b"late" not in bodies
     assert len(bodies) == len(set(bodies))
 
