--- a/src/magnoliapitch/membership/membership.py
+++ b/src/magnoliapitch/membership/membership.py
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from magnoliapitch.clock import Clock
     from magnoliapitch.journal.journal import Journal
-    from magnoliapitch.membership.fleet import Fleet
     from magnoliapitch.membership.identity import Identity
+    from magnoliapitch.membership.instance_cache import InstanceCache
     from magnoliapitch.membership.status import PeerStatus
     from magnoliapitch.peer.link import PeerLink
 
@@ -40,7 +40,8 @@
     Lock order: the journal's lock is never acquired while this object's
     lock is held.
 
-    :param fleet: lists the entry instances to contact, if there is one.
+    :param instance_cache: lists the entry instances to contact, if there is
+        one.
     :param seed_addresses: ``IP:PORT`` of peers to contact even if not listed.
     :ivar loads: free capacity of the own units, sent with heartbeats.
     :ivar leaving: whether this instance is about to stop.
@@ -53,7 +54,7 @@
         identity: Identity,
         journal: Journal,
         clock: Clock,
-        fleet: Fleet | None = None,
+        instance_cache: InstanceCache | None = None,
         seed_addresses: tuple[str, ...] = (),
     ) -> None:
         self.identity = identity
@@ -63,9 +64,9 @@
         self._own_join = MemberJoin(*identity)
         self._journal = journal
         self._clock = clock
-        self._fleet = fleet
+        self._instance_cache = instance_cache
         self._seed_addresses = seed_addresses
-        self._table = MemberTable(identity, fleet)
+        self._table = MemberTable(identity, instance_cache)
         self._round = 0
         self._lock = threading.Lock()
 
@@ -100,7 +101,7 @@
             )
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Record a peer's heartbeat and return the own one as answer."""
+        """Record a peer's heartbeat and answer with one of this instance."""
         self._record_heartbeat(heartbeat)
         return self.own_heartbeat(
             heartbeat.incarnation, whole_zone=not heartbeat.complete
@@ -138,7 +139,7 @@
         )
 
     def state_of(self, incarnation: str) -> MemberState:
-        """Return the state of an incarnation; the own one is allowed too."""
+        """Return the state of an incarnation, also of this instance's own."""
         if incarnation == self.identity.incarnation:
             return MemberState.LEAVING if self.leaving else MemberState.LIVE
         for peer in self.peers():
@@ -267,9 +268,11 @@
 
     def _listed_addresses(self) -> tuple[str, ...]:
         """Return the seeds and the listed instances of the own zone."""
-        if self._fleet is None:
+        if self._instance_cache is None:
             return self._seed_addresses
-        listed = self._fleet.of_role(InstanceRole.ENTRY, self.identity.zone)
+        listed = self._instance_cache.of_role(
+            InstanceRole.ENTRY, self.identity.zone
+        )
         return (*self._seed_addresses, *(item.url for item in listed))
 
     def _zone_info(
@@ -282,7 +285,7 @@
         )
 
     def _log_age_ms(self) -> int:
-        read_ms = self._journal.last_caught_up_ms
-        if read_ms is None:
+        caught_up_ms = self._journal.last_caught_up_ms
+        if caught_up_ms is None:
             return AGE_MAX_MS
-        return min(self._clock.now_ms() - read_ms, AGE_MAX_MS)
+        return min(self._clock.now_ms() - caught_up_ms, AGE_MAX_MS)
