--- a/src/magnoliapitch/entry/core.py
+++ b/src/magnoliapitch/entry/core.py
@@ -14,8 +14,8 @@
 from magnoliapitch.journal.record import MemberJoin
 from magnoliapitch.journal.record import MemberLeave
 from magnoliapitch.journal.snapshot_writer import SnapshotWriter
-from magnoliapitch.membership.fleet import Fleet
 from magnoliapitch.membership.identity import Identity
+from magnoliapitch.membership.instance_cache import InstanceCache
 from magnoliapitch.membership.membership import Membership
 from magnoliapitch.membership.presence import MembershipRecorder
 from magnoliapitch.membership.relay import PeerLogSource
@@ -70,7 +70,7 @@
 
 
 class EntryCore:
-    """State and behaviour of one entry instance.
+    """State and behaviour of an entry instance that follows the log.
 
     It starts no threads itself: its user calls the functions that
     :meth:`steps` returns.
@@ -78,7 +78,7 @@
     :param link: client for calls to peers.
     :param runner: runs calls to workers.
     :ivar on_superseded: called when the log says that this incarnation has
-        left, because another one replaced it or it was taken as gone.
+        left, because another one replaced it or it was considered gone.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
             f"{settings.address}:{settings.listeners.peer_port}",
         )
         self.metrics = Metrics()
-        self.fleet = Fleet(adapters.instance_list)
+        self.instance_cache = InstanceCache(adapters.instance_list)
         self.journal = Journal(
             adapters.log,
             self.identity.incarnation,
@@ -110,13 +110,13 @@
             self.identity,
             self.journal,
             self.clock,
-            self.fleet,
+            self.instance_cache,
             settings.peer_addresses,
         )
         self.membership_recorder = MembershipRecorder(
             self.membership,
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.clock,
             self._handle_superseded,
         )
@@ -126,13 +126,13 @@
         self.claimer = Claimer(
             self.identity,
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.membership,
             self.clock,
         )
         self.router = Router(
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.claimer,
             self.membership,
             adapters.backends,
@@ -148,10 +148,12 @@
         self.presence_lease = PresenceLease(
             self.identity.incarnation, self.journal, self.clock
         )
-        self.job_service = JobService(self.journal, self.fleet, scheduler)
+        self.job_service = JobService(
+            self.journal, self.instance_cache, scheduler
+        )
         self.job_manager = JobManager(
             self.journal,
-            self.fleet,
+            self.instance_cache,
             self.claimer,
             adapters.workers,
             scheduler,
@@ -185,7 +187,7 @@
             ),
             NamedStep("presence", self.membership_recorder.step),
             NamedStep("snapshots", self.snapshot_writer.step, "platform"),
-            NamedStep("fleet", self.fleet.refresh_step, "platform"),
+            NamedStep("fleet", self.instance_cache.refresh_step, "platform"),
             NamedStep("heartbeat", self._heartbeat_step),
             NamedStep("claimer", self.claimer.claim_step),
             NamedStep("hold", self.presence_lease.step),
@@ -288,7 +290,7 @@
         }
 
     def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Record a peer's heartbeat and return the own one as answer."""
+        """Record a peer's heartbeat and answer with one of this instance."""
         return self.membership.handle_heartbeat(heartbeat)
 
     def forward(
--- a/src/magnoliapitch/membership/fleet.py
+++ b/src/magnoliapitch/membership/instance_cache.py
@@ -24,7 +24,7 @@
 _Index = dict["tuple[InstanceRole, str]", "tuple[InstanceInfo, ...]"]
 
 
-class Fleet:
+class InstanceCache:
     """Cached instance list, indexed by id, role and zone.
 
     While the platform cannot be reached, the last list stays in use.
@@ -43,7 +43,7 @@
         self._was_fresh: bool | None = None
 
     def refresh_step(self) -> int:
-        """Fetch the list.
+        """Fetch the list and update the cache if the fetch succeeds.
 
         :return: milliseconds until the next refresh.
         """
