--- a/src/magnoliapitch/decision/dispatch.py
+++ b/src/magnoliapitch/decision/dispatch.py
@@ -272,7 +272,7 @@
         member_count = len(group.tasks_by_id) if group.is_gang else 1
         wanted = group.size.times(member_count)
         if not self._allocations.quota_usage.is_within_quota(entry, wanted):
-            group.wait_reason = f"free quota of entry {entry}"
+            group.wait_reason = f"quota of entry {entry}"
             group.skipped_at = self._capacity_version(decision_round)
             beyond_quota.append(group)
             return
@@ -324,15 +324,13 @@
         missing_count = group.template.gang_size - len(group.job.running)
         member_count = len(group.tasks_by_id)
         if member_count < missing_count:
-            group.wait_reason = (
-                "the remaining tasks of the gang to be submitted"
-            )
+            group.wait_reason = "the rest of the gang is not submitted"
             return False
         total = group.size.times(member_count)
         if not decision_round.may_try_gang or not total.fits(
             self._allocations.free
         ):
-            group.wait_reason = "free capacity for the whole gang"
+            group.wait_reason = "room for the whole gang"
             return False
         decision_round.gang_attempt_count += 1
         workers: list[WorkerState] = []
@@ -345,7 +343,7 @@
         for worker in workers:
             self._allocations.workers.release(worker, group.size)
         if len(workers) < member_count:
-            group.wait_reason = "free capacity for the whole gang"
+            group.wait_reason = "room for the whole gang"
             return False
         for worker in workers:
             self.start_on(decision_round, group, worker)
@@ -369,7 +367,7 @@
             decision_round.now_ms,
             ignore_cooldown=is_near_starvation,
         ):
-            group.wait_reason = "the start that is reserved for it"
+            group.wait_reason = "a reserved start"
 
     def _reclaim(
         self,
--- a/src/magnoliapitch/decision/explanation.py
+++ b/src/magnoliapitch/decision/explanation.py
@@ -57,7 +57,7 @@
         limit = f"retry after failure in {delay_ms} ms: {group.wait_reason}"
         return Explanation(job.job_id, limit.rstrip(": "), 0, delay_ms)
     ahead = _count_tasks_ahead(queue, group)
-    limit = group.wait_reason or "earlier tasks in the queue"
+    limit = group.wait_reason or "its turn"
     estimate_ms = rate.wait_ms(ahead + 1, now_ms)
     return Explanation(job.job_id, limit, ahead, estimate_ms)
 
--- a/src/magnoliapitch/decision/first_fit.py
+++ b/src/magnoliapitch/decision/first_fit.py
@@ -160,7 +160,7 @@
             self._is_waiting(task) and task.job_id != job_id
             for _, _, task in self._queue
         )
-        return Explanation(job_id, "earlier tasks in the queue", ahead, -1)
+        return Explanation(job_id, "arrival order", ahead, -1)
 
     def infeasibility_reason(
         self, task: TaskRequest, workers: tuple[WorkerShape, ...]
--- a/src/magnoliapitch/decision/interface.py
+++ b/src/magnoliapitch/decision/interface.py
@@ -112,7 +112,8 @@
 class Explanation(NamedTuple):
     """Why a job waits.
 
-    :param limit: text that names what the job waits for.
+    :param limit: text that names what the job waits for. Clients may match
+        these texts, so they do not change.
     :param position: number of tasks that start before it.
     :param estimate_ms: expected wait, -1 if unknown.
     """
--- a/src/magnoliapitch/decision/weighted.py
+++ b/src/magnoliapitch/decision/weighted.py
@@ -322,7 +322,7 @@
         delay_ms = self._retry.delay_ms(task.entry, task.attempt_id)
         if not delay_ms or not self._health.fails_everywhere(task.job_id):
             return delay_ms
-        group.wait_reason = "the job failed on several workers"
+        group.wait_reason = "it failed on several workers"
         return delay_ms + BROKEN_JOB_DELAY_MS
 
     def _handle_success(self, task: RunningTask, now_ms: int) -> None:
