--- a/src/magnoliapitch/bench/decisions/offline.py
+++ b/src/magnoliapitch/bench/decisions/offline.py
@@ -28,7 +28,6 @@
 
 
 SCHEDULING_STEP_MS = 1_000
-HORIZON_ARRIVAL_WINDOWS = 4
 
 
 class OfflineBound(NamedTuple):
@@ -176,7 +175,7 @@
         )
         next_arrival = 0
         now_ms = 0
-        while self._unstarted_count and now_ms < self._horizon_ms():
+        while self._unstarted_count and now_ms < self._trace.horizon_ms:
             while (
                 next_arrival < len(arrivals)
                 and arrivals[next_arrival][0] <= now_ms
@@ -190,9 +189,6 @@
             now_ms += SCHEDULING_STEP_MS
         return self.scheduled_tasks
 
-    def _horizon_ms(self) -> int:
-        return self._trace.arrival_window_ms * HORIZON_ARRIVAL_WINDOWS
-
     def _release(self, worker: int, index: int) -> None:
         self._free_cpu_millis[worker] += int(self._cpu_millis[index])
         self._free_memory_mb[worker] += int(self._memory_mb[index])
--- a/src/magnoliapitch/bench/decisions/result.py
+++ b/src/magnoliapitch/bench/decisions/result.py
@@ -17,9 +17,6 @@
     from magnoliapitch.decision.interface import Scheduler
 
 
-HORIZON_ARRIVAL_WINDOWS = 4
-
-
 class RunResult(NamedTuple):
     """Figures of one scheduling policy on one trace.
 
@@ -87,7 +84,7 @@
     :raises InvalidDecisionError: if a decision violates an invariant.
     """
     replay = Replay(trace, scheduler)
-    replay.run(trace.arrival_window_ms * HORIZON_ARRIVAL_WINDOWS)
+    replay.run(trace.horizon_ms)
     recorder = replay.recorder
     cancelled_job_ids = {item.job_id for item in trace.cancellations}
     feasible_job_ids = bound.feasible_job_ids - cancelled_job_ids
--- a/src/magnoliapitch/bench/decisions/trace.py
+++ b/src/magnoliapitch/bench/decisions/trace.py
@@ -15,6 +15,9 @@
     from collections.abc import Iterator
 
 
+HORIZON_ARRIVAL_WINDOWS = 4
+
+
 class TracedTask(NamedTuple):
     """Actual behaviour of one task, which the scheduler isn't told.
 
@@ -96,6 +99,11 @@
         """Return the catalogue entries of all jobs by name."""
         return {job.entry.name: job.entry for job in self.jobs}
 
+    @property
+    def horizon_ms(self) -> int:
+        """Time at which a replay and its offline bound end at the latest."""
+        return self.arrival_window_ms * HORIZON_ARRIVAL_WINDOWS
+
     def peak_interval_ms(self) -> tuple[int, int]:
         """Return start and end of the interval in which bulk work waits.
 
--- a/src/magnoliapitch/metric/process_usage.py
+++ b/src/magnoliapitch/metric/process_usage.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from magnoliapitch.metric.connection import DESCRIPTOR_DIRECTORY
 from magnoliapitch.metric.connection import ConnectionBytes
 from magnoliapitch.metric.connection import read_connection_bytes
 
 
 PAGE_BYTES = resource.getpagesize()
 STATM_PATH = Path("/proc/self/statm")
-DESCRIPTOR_DIRECTORY = Path("/proc/self/fd")
 
 
 class ProcessUsage(NamedTuple):
--- a/src/magnoliapitch/ownership/job_mover.py
+++ b/src/magnoliapitch/ownership/job_mover.py
@@ -7,6 +7,7 @@
 from magnoliapitch.catalogue.entry import ZoneCutAction
 from magnoliapitch.journal.record import JobMove
 from magnoliapitch.journal.record import MoveReason
+from magnoliapitch.ownership.claimer import LOG_MAX_AGE_MS
 from magnoliapitch.ownership.presence_lease import move_after_silence_ms
 
 
@@ -21,7 +22,6 @@
 
 
 CHECK_INTERVAL_MS = 1_000
-LOG_MAX_AGE_MS = 2_000
 MAX_MOVES_PER_STEP = 100
 
 
--- a/src/magnoliapitch/request/at_most_once.py
+++ b/src/magnoliapitch/request/at_most_once.py
@@ -17,6 +17,7 @@
 from result import Err
 
 from magnoliapitch.journal.record import RequestIntent
+from magnoliapitch.request.dispatcher import FORWARD_MARGIN_MS
 from magnoliapitch.request.execution_registry import ExecutionRegistry
 from magnoliapitch.request.ticket import Ticket
 from magnoliapitch.request.ticket import TicketIssuer
@@ -41,10 +42,9 @@
     Dispatch = Callable[[RoutedRequest], Outcome]
 
 
-LOG_MAX_AGE_MS = 3_000
+INTENT_LOG_MAX_AGE_MS = 3_000
 COMMIT_TIMEOUT_MS = 2_000
 HOLDER_RETRY_AFTER_MS = 1_000
-FORWARD_MARGIN_MS = 20  # for the way to the peer and back
 KEY_RETENTION_MS = 86_400_000  # 24 hours
 
 _KEY_PATTERN = re.compile(r"[!-~]{1,255}", re.ASCII)
@@ -184,9 +184,13 @@
         """
         now_ms = self._clock.now_ms()
         caught_up_ms = self._journal.last_caught_up_ms
-        if caught_up_ms is None or now_ms - caught_up_ms > LOG_MAX_AGE_MS:
+        if (
+            caught_up_ms is None
+            or now_ms - caught_up_ms > INTENT_LOG_MAX_AGE_MS
+        ):
             return _log_unavailable(
-                f"no complete read of the log in the last {LOG_MAX_AGE_MS} ms"
+                "no complete read of the log in the last "
+                f"{INTENT_LOG_MAX_AGE_MS} ms"
             )
         digest = _digest_of(routed.request)
         refusal = self._key_executions.register(
